--- a/features/steps/block_probes_steps.py
+++ b/features/steps/block_probes_steps.py
@@ -10,8 +10,8 @@
 from behave import when
 from behave.runner import Context
 from lacewing_daemon.direct.crashes import CrashRecord
-from lacewing_daemon.direct.crashes import Start
 from lacewing_daemon.direct.crashes import Suspect
+from lacewing_daemon.direct.crashes import UpstreamIncarnation
 from lacewing_daemon.direct.crashes._fingerprint import fingerprint
 from lacewing_platform_testing import BORN
 from support.direct_bench import Answer
@@ -52,7 +52,7 @@
         Suspect(_fingerprint(body), False) for body in (CRASHES, HARMLESS)
     )
     for number in range(1, count + 1):
-        start = Start(f'up-{number}', BORN - 1)
+        start = UpstreamIncarnation(f'up-{number}', BORN - 1)
         text = msgspec.json.encode(CrashRecord(start, suspects)).decode()
         name = f'up-{number}.{BORN - 1}.0.router-9'
         put = partial(bench.store.put, STORED_KIND, name, {'text': text})
@@ -64,9 +64,10 @@
     """Send the request once all routers have read the reports."""
     bench = direct_bench(context)
     for router in bench.routers:
-        guard = router._fleet.guard
+        guard = router._fleet.crash_guard
         bench.until(
-            partial(guard.blocks, _fingerprint(HARMLESS)), 'a blocked request'
+            partial(guard.is_blocked, _fingerprint(HARMLESS)),
+            'a blocked request',
         )
     assert _ask(bench, 0, HARMLESS).status == 503, bench.answer
     retry_s = float(bench.answer.headers['Retry-After'])
--- a/features/steps/crash_ledger_steps.py
+++ b/features/steps/crash_ledger_steps.py
@@ -9,14 +9,14 @@
 from lacewing_bench.crash_errors import Load
 from lacewing_bench.crash_errors import play
 from lacewing_bench.crash_errors import USED
-from lacewing_daemon.direct.crashes import CrashLedger
 from lacewing_daemon.direct.crashes import CrashRecord
-from lacewing_daemon.direct.crashes import Start
+from lacewing_daemon.direct.crashes import CrashRegistry
 from lacewing_daemon.direct.crashes import Suspect
+from lacewing_daemon.direct.crashes import UpstreamIncarnation
 from lacewing_daemon.direct.crashes._probes import ProbeSchedule
 
 BEGUN = '+'
-UP = Start('up', 7)
+UP = UpstreamIncarnation('up', 7)
 
 
 @when('routers hear of the crashes "{text}" in any order')
@@ -25,9 +25,9 @@
     context.now_s = 1000.0
     context.ledgers = []
     for records in permutations(_records(text)):
-        ledger = CrashLedger(clock=lambda: float(context.now_s))
+        ledger = CrashRegistry(clock=lambda: float(context.now_s))
         for record in records:
-            ledger.take(record)
+            ledger.merge(record)
         context.ledgers.append(ledger)
 
 
@@ -37,17 +37,17 @@
     news = context.ledgers[0].clear(name)
     for ledger in context.ledgers[1:]:
         for record in news:
-            ledger.take(record)
+            ledger.merge(record)
 
 
 @when('an upstream that {state} crashes under "{name}" at {now:d}')
 def step_crash(context: Context, state: str, name: str, now: int) -> None:
     """Tell one router of it."""
     context.now_s = float(now)
-    context.ledger = CrashLedger(clock=lambda: float(context.now_s))
+    context.ledger = CrashRegistry(clock=lambda: float(context.now_s))
     gone = state == 'listens no more'
     record = CrashRecord(UP, (Suspect(name, False),), gone=gone)
-    context.ledger.take(record)
+    context.ledger.merge(record)
 
 
 @when(
@@ -56,15 +56,15 @@
 )
 def step_broken(context: Context, name: str, opened: int) -> None:
     """Let the same router see it, with no later start of the upstream."""
-    start = context.ledger.start_of(UP, float(opened))
-    context.ledger.take(CrashRecord(start, (Suspect(name, False),)))
+    start = context.ledger.incarnation_of(UP, float(opened))
+    context.ledger.merge(CrashRecord(start, (Suspect(name, False),)))
 
 
 @then('"{name}" is held to have run at {count:d} crash')
 @then('"{name}" is held to have run at {count:d} crashes')
 def step_held(context: Context, name: str, count: int) -> None:
     """Count them."""
-    crashes = context.ledger.crashes(name)
+    crashes = context.ledger.crash_count(name)
     assert crashes == count, f'expected {count}, got {crashes}'
 
 
@@ -73,7 +73,7 @@
     """Let time pass for all of them."""
     context.now_s += seconds
     for ledger in context.ledgers:
-        ledger.forget_old()
+        ledger.expire()
 
 
 @then('they block "{names}"')
@@ -164,5 +164,7 @@
         for name in names.split():
             begun = name.endswith(BEGUN)
             suspects.append(Suspect(name.removesuffix(BEGUN), begun))
-        records.append(CrashRecord(Start('up', number), tuple(suspects)))
+        records.append(
+            CrashRecord(UpstreamIncarnation('up', number), tuple(suspects))
+        )
     return tuple(records)
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -10,9 +10,9 @@
 from behave import when
 from behave.runner import Context
 from lacewing_daemon.direct import DirectRouter
-from lacewing_daemon.direct.crashes._guard import PEERS_AFTER_S
-from lacewing_daemon.direct.crashes._ledger import CRASHES_TO_BLOCK
-from lacewing_daemon.direct.crashes._news import LISTEN_AGAIN_S
+from lacewing_daemon.direct.crashes._gossip import LISTEN_RETRY_S
+from lacewing_daemon.direct.crashes._guard import PEERS_START_DELAY_S
+from lacewing_daemon.direct.crashes._registry import CRASHES_TO_BLOCK
 from lacewing_platform_testing import Behaviour
 from lacewing_platform_testing import StandInUpstream
 from lacewing_platform_testing import StoreMode
@@ -84,7 +84,7 @@
 def step_goes(context: Context) -> None:
     """Free the ports, and give the routers time to see it."""
     direct_bench(context).free_peer_ports()
-    time.sleep(LISTEN_AGAIN_S + PAUSE_S)
+    time.sleep(LISTEN_RETRY_S + PAUSE_S)
 
 
 @given('each router knows the {count:d} other')
@@ -94,7 +94,7 @@
     bench = direct_bench(context)
     for router in bench.routers:
         bench.until(partial(_knows, router, count), f'{count} other routers')
-    time.sleep(PEERS_AFTER_S + PAUSE_S)
+    time.sleep(PEERS_START_DELAY_S + PAUSE_S)
 
 
 @given('a router in the store that answers nobody')
@@ -148,7 +148,8 @@
 def _all_routers_block(bench: DirectBench) -> bool:
     def all_block() -> bool:
         return bool(bench.routers) and all(
-            router._fleet.guard._ledger.blocked for router in bench.routers
+            router._fleet.crash_guard._ledger.blocked
+            for router in bench.routers
         )
 
     # Ledgers are not thread-safe; read them on the routers' event loop.
--- a/features/steps/direct_load_steps.py
+++ b/features/steps/direct_load_steps.py
@@ -10,7 +10,7 @@
 from behave.runner import Context
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._choice import EngineView
-from lacewing_daemon.direct._choice import NoRoom
+from lacewing_daemon.direct._choice import NoCapacity
 from lacewing_daemon.direct._choice import place
 from lacewing_daemon.direct._loading import EngineWeights
 from lacewing_daemon.direct._loading import next_loads
@@ -72,7 +72,7 @@
         for number, sent in enumerate(self._sent):
             self._learn(number, now_ms)
             waiting_ms = sum(one.read_ms for one in sent)
-            excess.append(self._states[number].excess_ms(now_ms / 1000))
+            excess.append(self._states[number].lateness_ms(now_ms / 1000))
             views.append(
                 EngineView(
                     str(number),
@@ -84,10 +84,10 @@
                 )
             )
         placed = place(views, left_ms, self._policy)
-        if isinstance(placed, NoRoom):
+        if isinstance(placed, NoCapacity):
             return None
         chosen = int(placed.upstream_id)
-        self._counted_ms = now_ms + placed.first_ms - excess[chosen]
+        self._counted_ms = now_ms + placed.first_event_ms - excess[chosen]
         return chosen
 
     def note(self, engine: int, first_ms: float, read_ms: float) -> None:
@@ -103,7 +103,7 @@
                 continue
             if self._learning:
                 at_s = one.first_ms / 1000
-                self._states[engine].learn_first(one.late_ms, at_s)
+                self._states[engine].learn_lateness(one.late_ms, at_s)
         self._sent[engine][:] = open_ones
 
 
@@ -194,8 +194,8 @@
 @then('it is refused with room after at least {room_ms:d} ms')
 def step_room(context: Context, room_ms: int) -> None:
     """Check the refusal."""
-    assert isinstance(context.placed, NoRoom), context.placed
-    assert context.placed.room_ms >= room_ms, context.placed
+    assert isinstance(context.placed, NoCapacity), context.placed
+    assert context.placed.retry_after_ms >= room_ms, context.placed
 
 
 @given('an engine in the own zone that is free after {own:d} ms')
@@ -235,40 +235,40 @@
     """Count the prompts as sent."""
     context.state = _state()
     for _ in range(count):
-        context.state.open(float(read_ms), 5, 0.0)
+        context.state.open_request(float(read_ms), 5, 0.0)
 
 
 @then('an urgent prompt expects to wait less than {most:d} ms')
 def step_urgent(context: Context, most: int) -> None:
     """Check what goes before it."""
-    assert context.state.waiting_ms(3, SPEED) < most
+    assert context.state.queued_prefill_ms(3, SPEED) < most
 
 
 @then('a less urgent one expects to wait {wait_ms:d} ms')
 def step_less_urgent(context: Context, wait_ms: int) -> None:
     """Check what goes before it."""
-    assert context.state.waiting_ms(5, SPEED) == wait_ms
+    assert context.state.queued_prefill_ms(5, SPEED) == wait_ms
 
 
 @given('an upstream with a request that waits for {wait_ms:d} ms unheard')
 def step_unheard(context: Context, wait_ms: int) -> None:
     """Send a request and let the time pass."""
     context.state = _state()
-    context.state.open(10.0, 5, 100.0)
+    context.state.open_request(10.0, 5, 100.0)
     context.now_s = 100.0 + wait_ms / 1000
 
 
 @then('it counts as silent')
 def step_silent(context: Context) -> None:
     """Check the verdict."""
-    assert context.state.silent(context.now_s)
+    assert context.state.is_silent(context.now_s)
 
 
 @then('it does not once anything is heard from it')
 def step_heard(context: Context) -> None:
     """Hear something and check again."""
-    context.state.heard(context.now_s)
-    assert not context.state.silent(context.now_s)
+    context.state.data_received(context.now_s)
+    assert not context.state.is_silent(context.now_s)
 
 
 @given('{count:d} engines with version 1')
--- a/features/steps/direct_starts_steps.py
+++ b/features/steps/direct_starts_steps.py
@@ -11,7 +11,7 @@
 from behave.runner import Context
 from lacewing_daemon.direct._send import MOVED_PAUSE_S
 from lacewing_daemon.direct._send import Send
-from lacewing_daemon.direct._silence import SilenceWatch
+from lacewing_daemon.direct._silence_detector import SilenceDetector
 from lacewing_daemon.direct._target import Target
 from lacewing_platform import PlatformWire
 from lacewing_platform_testing import Behaviour
@@ -111,8 +111,8 @@
 @then('"{name}" is known with version {version:d}')
 def step_known_with(context: Context, name: str, version: int) -> None:
     """Look at what the router knows."""
-    knowledge = direct_bench(context).routers[0]._fleet.knowledge
-    state = knowledge.state(name)
+    knowledge = direct_bench(context).routers[0]._fleet.cluster_state
+    state = knowledge.upstream(name)
     assert state is not None
     assert state.weights(MODEL) == version, state.weights(MODEL)
 
@@ -171,7 +171,9 @@
         ),
     )
     fleet: Any = SimpleNamespace(
-        knowledge=context.knowledge, silence=SilenceWatch(MUTE_S), guard=None
+        cluster_state=context.knowledge,
+        silence_detector=SilenceDetector(MUTE_S),
+        crash_guard=None,
     )
     route = SimpleNamespace(streams=True, may_repeat=True)
     admitted: Any = SimpleNamespace(route=route)
@@ -195,11 +197,11 @@
     """Look whether it is used, and what is known of it."""
     state = context.before
     now_s = time.monotonic()
-    assert not state.usable(now_s + MOVED_PAUSE_S / 2)
-    assert state.usable(now_s + MOVED_PAUSE_S)
+    assert not state.is_usable(now_s + MOVED_PAUSE_S / 2)
+    assert state.is_usable(now_s + MOVED_PAUSE_S)
     assert state.weights(MODEL) == 3
-    assert state.others(now_s) == 0
-    assert context.knowledge.named_weights(MODEL).version == 3
+    assert state.other_requests(now_s) == 0
+    assert context.knowledge.current_release(MODEL).version == 3
 
 
 @then('it goes on receiving requests')
--- a/features/steps/direct_store_steps.py
+++ b/features/steps/direct_store_steps.py
@@ -12,13 +12,13 @@
 from behave.runner import Context
 from lacewing_common.store import StoreError
 from lacewing_daemon.direct import Changes
-from lacewing_daemon.direct import HistoryGone
+from lacewing_daemon.direct import HistoryExpired
 from lacewing_daemon.direct import Listing
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._fleet import deaf_s
-from lacewing_daemon.direct._fleet import directory_wait_s
-from lacewing_daemon.direct._fleet import keys_believed_s
-from lacewing_daemon.direct._followed import Followed
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
+from lacewing_daemon.direct._fleet import keys_valid_s
+from lacewing_daemon.direct._fleet import routing_config_wait_s
+from lacewing_daemon.direct._fleet import watch_gap_s
 from lacewing_platform_testing import StoreMode
 from support.direct_bench import Answer
 from support.direct_bench import direct_bench
@@ -53,9 +53,9 @@
 @then('a call that waits for changes ends well before keys are doubted')
 def step_confirmed(context: Context) -> None:
     """Compare the age that the configuration reaches with the limit."""
-    wait_s = directory_wait_s(context.revoke_s)
-    oldest_s = wait_s + deaf_s(context.revoke_s)
-    limit_s = keys_believed_s(context.revoke_s)
+    wait_s = routing_config_wait_s(context.revoke_s)
+    oldest_s = wait_s + watch_gap_s(context.revoke_s)
+    limit_s = keys_valid_s(context.revoke_s)
     assert wait_s > 0
     assert oldest_s <= 0.81 * limit_s < context.revoke_s, oldest_s
 
@@ -64,7 +64,9 @@
 def step_follows(context: Context, wait_s: float) -> None:
     """Make a follower that nothing runs."""
     context.clock = boot_s()
-    context.followed = Followed('entries', _Unused(), wait_s, Random())
+    context.followed = CollectionWatcher(
+        'entries', _Unused(), wait_s, Random()
+    )
 
 
 @when('{answer} comes to a call sent {ago_s:f} s ago')
@@ -95,7 +97,7 @@
 
     async def changes(
         self, since: int, wait_s: float
-    ) -> Changes[int] | HistoryGone | StoreError:
+    ) -> Changes[int] | HistoryExpired | StoreError:
         """Give nothing."""
         raise NotImplementedError
 
--- a/features/steps/direct_weights_steps.py
+++ b/features/steps/direct_weights_steps.py
@@ -7,16 +7,16 @@
 from behave import when
 from behave.runner import Context
 from lacewing_daemon.direct import CallerRequest
-from lacewing_daemon.direct import NamedWeights
 from lacewing_daemon.direct import Prompt
 from lacewing_daemon.direct import PromptPart
+from lacewing_daemon.direct import ReleasedWeights
 from lacewing_daemon.direct._admission import Admitted
-from lacewing_daemon.direct._knowledge import Knowledge
-from lacewing_daemon.direct._knowledge import OLD_WEIGHTS_PART
-from lacewing_daemon.direct._namings import NAMINGS_APART_S
+from lacewing_daemon.direct._cluster_state import ClusterState
+from lacewing_daemon.direct._cluster_state import OLD_WEIGHTS_FRACTION
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._policy import LoadPolicy
 from lacewing_daemon.direct._target import Target
+from lacewing_daemon.direct._weights_releases import RELEASE_MERGE_INTERVAL_S
 from support.direct_bench import BOUNDS
 from support.direct_bench import direct_bench
 from support.direct_bench import MODEL
@@ -52,7 +52,7 @@
 
     def __init__(self, engines: int) -> None:
         self.clock = _Clock()
-        self.knowledge = Knowledge(BOUNDS, LoadPolicy(), self.clock)
+        self.knowledge = ClusterState(BOUNDS, LoadPolicy(), self.clock)
         self.named: dict[int, float] = {}
         self.ids = know_engines(self.knowledge, ['z0'] * engines)
         self.placer = Placer(self.knowledge, 'z0')
@@ -60,11 +60,13 @@
     def name(self, version: int, unsure_s: float = 0.0) -> None:
         """Name a version now, or at some time in the last seconds."""
         self.named[version] = self.clock.now_s
-        self.knowledge.take_weights(NamedWeights(MODEL, version), unsure_s)
+        self.knowledge.record_release(
+            ReleasedWeights(MODEL, version), unsure_s
+        )
 
     def loaded(self, name: str, version: int) -> None:
         """Let an engine tell that it has a version."""
-        state = self.knowledge.state(name)
+        state = self.knowledge.upstream(name)
         assert state is not None
         state.learn_weights(MODEL, version)
 
@@ -160,7 +162,7 @@
 @then('each is used until three quarters of that time')
 def step_used(context: Context) -> None:
     """Check that what they have is asked for as long as that is allowed."""
-    limit_s = BOUNDS.weights_s * OLD_WEIGHTS_PART
+    limit_s = BOUNDS.weights_s * OLD_WEIGHTS_FRACTION
     for asked in context.asked:
         if asked[3] < limit_s - LOOK_S:
             assert asked[1] == 1, asked
@@ -175,9 +177,9 @@
 @then('the router remembers few namings')
 def step_few(context: Context) -> None:
     """Count those that it keeps."""
-    kept = len(context.weights_router.knowledge.namings(MODEL))
-    limit_s = BOUNDS.weights_s * OLD_WEIGHTS_PART
-    assert kept <= limit_s / NAMINGS_APART_S + 2, kept
+    kept = len(context.weights_router.knowledge.releases(MODEL))
+    limit_s = BOUNDS.weights_s * OLD_WEIGHTS_FRACTION
+    assert kept <= limit_s / RELEASE_MERGE_INTERVAL_S + 2, kept
 
 
 @when(
@@ -224,8 +226,8 @@
     router.name(3)
     context.busier = router.place().state.upstream.upstream_id
     router.loaded(context.busier, 3)
-    state = router.knowledge.state(context.busier)
-    state.open(BUSY_MS, 5, router.clock.now_s)
+    state = router.knowledge.upstream(context.busier)
+    state.open_request(BUSY_MS, 5, router.clock.now_s)
 
 
 @then('until {old_s:f} s the idle engine is chosen and then the busier one')
@@ -247,14 +249,14 @@
     router.name(2)
     context.busier = router.place().state.upstream.upstream_id
     router.loaded(context.busier, 2)
-    state = router.knowledge.state(context.busier)
-    state.open(read_ms, 0, router.clock.now_s)
+    state = router.knowledge.upstream(context.busier)
+    state.open_request(read_ms, 0, router.clock.now_s)
 
 
 @then('once older ones are overdue that engine is chosen')
 def step_overdue_last(context: Context) -> None:
     """Place a prompt right after that."""
-    limit_s = context.weights_router.knowledge.old_limit_s
+    limit_s = context.weights_router.knowledge.old_weights_limit_s
     chosen = _chosen_at(context, limit_s + LOOK_S)
     assert chosen == context.busier, chosen
 
@@ -263,7 +265,7 @@
     router = context.weights_router
     router.clock.now_s = context.begin_s + at_s
     # Engines from which nothing comes are left out.
-    router.knowledge.state(context.busier).heard(router.clock.now_s)
+    router.knowledge.upstream(context.busier).data_received(router.clock.now_s)
     upstream_id: str = router.place().state.upstream.upstream_id
     return upstream_id
 
--- a/features/steps/eras_followed_steps.py
+++ b/features/steps/eras_followed_steps.py
@@ -11,8 +11,8 @@
 from lacewing_common.store import StoreFault
 from lacewing_daemon.direct import Changes
 from lacewing_daemon.direct import Listing
-from lacewing_daemon.direct._eras import StoreEras
-from lacewing_daemon.direct._followed import Followed
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
+from lacewing_daemon.direct._store_eras import StoreEras
 from steps.followed_steps import LIST
 from steps.followed_steps import Scripted
 from steps.followed_steps import WAIT_S
@@ -47,13 +47,13 @@
     """Follow as the configuration is."""
     context.scripted = Scripted()
     context.eras = StoreEras()
-    context.follower = Followed(
+    context.follower = CollectionWatcher(
         'entries',
         context.scripted,
         WAIT_S,
         Random(),
         strict=True,
-        doubted_s=DOUBTED_S,
+        max_unconfirmed_s=DOUBTED_S,
         clock=context.scripted.clock,
         eras=context.eras,
         is_older=_older,
@@ -82,7 +82,7 @@
 @when('another follower of the store hears of era {era:d}')
 def step_hears(context: Context, era: int) -> None:
     """Tell the era that all share."""
-    context.eras.take(era)
+    context.eras.observe(era)
 
 
 @when(
@@ -103,7 +103,7 @@
 
     async def play() -> float:
         loop = asyncio.get_running_loop()
-        loop.call_later(0.1, context.eras.take, era)
+        loop.call_later(0.1, context.eras.observe, era)
         began_s = loop.time()
         await context.follower.step()
         return loop.time() - began_s
@@ -123,7 +123,7 @@
 @when('a list of era {era:d} with version {version:d} comes')
 def step_list(context: Context, era: int, version: int) -> None:
     """Tell the era first, as any answer does."""
-    context.eras.take(era)
+    context.eras.observe(era)
     _step(context, Listing({NAME: version}, 3, era=era))
 
 
--- a/features/steps/estimates_steps.py
+++ b/features/steps/estimates_steps.py
@@ -6,10 +6,10 @@
 from behave import then
 from behave import when
 from behave.runner import Context
-from lacewing_daemon.direct._estimates import estimated
+from lacewing_daemon.direct._cluster_state import ClusterState
+from lacewing_daemon.direct._estimates import apply_estimates
 from lacewing_daemon.direct._estimates import Estimates
-from lacewing_daemon.direct._estimates import Read
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._estimates import PrefillSample
 from lacewing_daemon.direct._policy import LoadPolicy
 from support.direct_bench import BOUNDS
 
@@ -39,7 +39,9 @@
 ) -> None:
     read_ms = tokens / context.speed
     took_ms = read_ms + context.step_ms + WAY_MS + extra_ms
-    context.estimates.learn_read(Read(context.now_s, tokens, shared, took_ms))
+    context.estimates.learn_prefill(
+        PrefillSample(context.now_s, tokens, shared, took_ms)
+    )
     context.now_s += GAP_S
 
 
@@ -88,7 +90,7 @@
 
 
 def _policy(context: Context) -> LoadPolicy:
-    return estimated(CONFIGURED, context.estimates, context.now_s)
+    return apply_estimates(CONFIGURED, context.estimates, context.now_s)
 
 
 @then('the speed is estimated within {part:d}%')
@@ -179,7 +181,7 @@
 def step_router(context: Context, speed: int) -> None:
     """Fill the estimates of one service."""
     step_engines(context, speed, 9)
-    context.knowledge = Knowledge(BOUNDS, CONFIGURED, lambda: context.now_s)
+    context.knowledge = ClusterState(BOUNDS, CONFIGURED, lambda: context.now_s)
     context.estimates = context.knowledge.estimates('models')
     step_sees(context, 40, 0.0)
 
--- a/features/steps/followed_again_steps.py
+++ b/features/steps/followed_again_steps.py
@@ -12,7 +12,7 @@
 from lacewing_common.store import StoreFault
 from lacewing_daemon.direct import Changes
 from lacewing_daemon.direct import Listing
-from lacewing_daemon.direct._followed import Followed
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
 from steps.followed_steps import Scripted
 from steps.followed_steps import WAIT_S
 
@@ -22,7 +22,7 @@
 
 def _follow(context: Context, name: str, **how: Any) -> None:
     context.scripted = Scripted()
-    context.follower = Followed(
+    context.follower = CollectionWatcher(
         'entries',
         context.scripted,
         WAIT_S,
@@ -47,7 +47,7 @@
 @given('a follower that keeps what lapsed, with entry "{name}"')
 def step_keeps(context: Context, name: str) -> None:
     """Follow as upstreams are."""
-    _follow(context, name, keep_lapsed=True)
+    _follow(context, name, retain_lapsed=True)
 
 
 @given('a follower that drops what can\'t be read, with entry "{name}"')
@@ -59,7 +59,7 @@
 @given('a strict follower whose entries are doubted after {doubted_s:f} s')
 def step_strict(context: Context, doubted_s: float) -> None:
     """Follow as the configuration is."""
-    _follow(context, 'main', strict=True, doubted_s=doubted_s)
+    _follow(context, 'main', strict=True, max_unconfirmed_s=doubted_s)
 
 
 @when('"{name}" changes and is removed, a call fails and both are told again')
@@ -92,7 +92,7 @@
     """Note for how long the change may have been made."""
 
     def told(_name: str, _value: int | None) -> None:
-        context.unsure_s = context.follower.unsure_s
+        context.unsure_s = context.follower.max_change_age_s
 
     context.follower.on_change(told)
     asyncio.run(_step(context, Changes((), 5)))
--- a/features/steps/followed_steps.py
+++ b/features/steps/followed_steps.py
@@ -10,11 +10,11 @@
 from lacewing_common.store import StoreError
 from lacewing_common.store import StoreFault
 from lacewing_daemon.direct import Changes
-from lacewing_daemon.direct import HistoryGone
+from lacewing_daemon.direct import HistoryExpired
 from lacewing_daemon.direct import Listing
-from lacewing_daemon.direct._followed import Followed
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
 
-Answered = Listing[int] | Changes[int] | HistoryGone | StoreError
+Answered = Listing[int] | Changes[int] | HistoryExpired | StoreError
 WAIT_S = 1.2
 LIST = 'the list'
 
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self.now_s = 100.0
-        self.answer: Answered = HistoryGone('nothing is scripted')
+        self.answer: Answered = HistoryExpired('nothing is scripted')
         self.takes_s = 0.0
         self.calls: list[tuple[int | str, float]] = []
 
@@ -37,7 +37,7 @@
 
     async def changes(
         self, since: int, wait_s: float
-    ) -> Changes[int] | HistoryGone | StoreError:
+    ) -> Changes[int] | HistoryExpired | StoreError:
         """Ask for changes."""
         self.calls.append((since, wait_s))
         self.now_s += self.takes_s
@@ -59,12 +59,12 @@
 def step_follower(context: Context, doubted_s: float) -> None:
     """Make a follower with a clock of its own."""
     context.scripted = Scripted()
-    context.follower = Followed(
+    context.follower = CollectionWatcher(
         'entries',
         context.scripted,
         WAIT_S,
         Random(),
-        doubted_s=doubted_s,
+        max_unconfirmed_s=doubted_s,
         clock=context.scripted.clock,
     )
 
@@ -102,7 +102,7 @@
 @when('its next call says that the history is gone')
 def step_gone(context: Context) -> None:
     """Drop the history."""
-    _step(context, HistoryGone('gone'))
+    _step(context, HistoryExpired('gone'))
 
 
 @when('{later_s:f} s later a call tells revision {revision:d} without changes')
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -180,8 +180,8 @@
     bench = direct_bench(context)
     bench.until_ready()
     bench.run(sleep(KNOWN_S))
-    knowledge = bench.routers[0]._fleet.knowledge
-    assert knowledge.named_weights(MODEL).version == version
+    knowledge = bench.routers[0]._fleet.cluster_state
+    assert knowledge.current_release(MODEL).version == version
 
 
 @given("an engine's entry that names no models")
@@ -242,9 +242,9 @@
 @then('the router counts itself alone')
 def step_counts(context: Context) -> None:
     """Wait until it has counted."""
-    knowledge = direct_bench(context).routers[0]._fleet.knowledge
+    knowledge = direct_bench(context).routers[0]._fleet.cluster_state
     direct_bench(context).until(
-        lambda: knowledge.routers == 1, 'a count of one router'
+        lambda: knowledge.router_count == 1, 'a count of one router'
     )
 
 
--- a/features/steps/hostile_steps.py
+++ b/features/steps/hostile_steps.py
@@ -15,7 +15,7 @@
 from lacewing_daemon.direct import CallerRequest
 from lacewing_daemon.direct import Changes
 from lacewing_daemon.direct import Dispatch
-from lacewing_daemon.direct import HistoryGone
+from lacewing_daemon.direct import HistoryExpired
 from lacewing_daemon.direct import Listing
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._attempt import Attempt
@@ -166,7 +166,7 @@
             continue
         good += 1
         assert end.complete and end.head is not None, end
-        assert end.head.proven, end
+        assert end.head.authenticated, end
         assert end.body in answer, (answer, end)
     assert 0 < good < context.count, good
 
@@ -199,7 +199,7 @@
     got: list[object] = []
     calls: tuple[Callable[[], Awaitable[object]], ...] = (
         lambda: site.upstreams.read(),
-        lambda: site.directories.read(),
+        lambda: site.routing_configs.read(),
         lambda: site.weights.changes(3, 0.1),
         lambda: site.store.get('leases', 'weights'),
         lambda: site.store.put('leases', 'weights', b'x', 0),
@@ -221,7 +221,7 @@
     known = (
         Listing,
         Changes,
-        HistoryGone,
+        HistoryExpired,
         StoredObject,
         StoreError,
         tuple,
--- a/features/steps/kept_parts_steps.py
+++ b/features/steps/kept_parts_steps.py
@@ -12,7 +12,7 @@
 from lacewing_daemon.direct import PromptPart
 from lacewing_daemon.direct import Service
 from lacewing_daemon.direct._admission import Admitted
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._cluster_state import ClusterState
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._policy import LoadPolicy
 from lacewing_daemon.direct._target import Target
@@ -34,7 +34,7 @@
     """Hold one router's knowledge and its placer."""
 
     def __init__(self, zone: str, zones: list[str]) -> None:
-        self.knowledge = Knowledge(BOUNDS, LoadPolicy(), lambda: NOW_S)
+        self.knowledge = ClusterState(BOUNDS, LoadPolicy(), lambda: NOW_S)
         self.zone = zone
         kept = Service(
             'kept', 0, None, KvStore('127.0.0.1:9', 'z0', 10**6, 4.5e10)
@@ -93,8 +93,8 @@
     """Send a prompt; no first event comes."""
     router = context.routers[0]
     context.first = router.place(_prompt('first'))
-    context.first.state.open(context.first.read_ms, 1, NOW_S)
-    router.placer.kept.note_sent(
+    context.first.state.open_request(context.first.prefill_ms, 1, NOW_S)
+    router.placer.cached_parts.record_sent(
         context.first, _prompt('first'), ENGINE, NOW_S
     )
 
@@ -105,7 +105,7 @@
     router = context.routers[0]
     first_id = context.first.state.upstream.upstream_id
     elsewhere = router.place(_prompt('second'), frozenset((first_id,)))
-    assert elsewhere.read_ms > SHARED_TOKENS / TOKENS_PER_MS, elsewhere
+    assert elsewhere.prefill_ms > SHARED_TOKENS / TOKENS_PER_MS, elsewhere
 
 
 @then('once it is answered they need only be fetched')
@@ -113,16 +113,18 @@
     """Note the first event and place it again."""
     router = context.routers[0]
     first_id = context.first.state.upstream.upstream_id
-    router.placer.kept.note_read(context.first, _prompt('first'), NOW_S)
+    router.placer.cached_parts.record_prefilled(
+        context.first, _prompt('first'), NOW_S
+    )
     elsewhere = router.place(_prompt('second'), frozenset((first_id,)))
-    assert elsewhere.read_ms < SHARED_TOKENS / TOKENS_PER_MS, elsewhere
+    assert elsewhere.prefill_ms < SHARED_TOKENS / TOKENS_PER_MS, elsewhere
 
 
 @given('each router knows of {count:d} routers')
 def step_known(context: Context, count: int) -> None:
     """Tell each router how many there are."""
     for router in context.routers:
-        router.knowledge.take_routers(count)
+        router.knowledge.set_router_count(count)
 
 
 @when('a router places runs that must not begin again')
--- a/features/steps/known_starts_steps.py
+++ b/features/steps/known_starts_steps.py
@@ -10,14 +10,14 @@
 from behave.runner import Context
 from lacewing_daemon.direct import Engine
 from lacewing_daemon.direct import LoadOrder
-from lacewing_daemon.direct import NamedWeights
 from lacewing_daemon.direct import OrderVerdict
 from lacewing_daemon.direct import Prompt
 from lacewing_daemon.direct import PromptPart
+from lacewing_daemon.direct import ReleasedWeights
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct import UpstreamLoad
 from lacewing_daemon.direct import UpstreamReport
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._cluster_state import ClusterState
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._planner import WeightsPlanner
 from lacewing_daemon.direct._policy import LoadPolicy
@@ -61,15 +61,15 @@
 class _HeldLease:
     """Stand for a lease that this process holds and acts under."""
 
-    acting = True
+    is_acting = True
     fence = 5
 
-    def note_act(self) -> None:
+    def record_action(self) -> None:
         """Forget the act."""
 
 
 def _state(context: Context) -> UpstreamState:
-    state: UpstreamState | None = context.knowledge.state(NAME)
+    state: UpstreamState | None = context.knowledge.upstream(NAME)
     assert state is not None
     return state
 
@@ -78,15 +78,15 @@
     entry = replace(
         FIRST, weights={MODEL: version}, started_ms=STARTED_MS + 1000
     )
-    context.knowledge.take_upstream(NAME, entry)
+    context.knowledge.update_upstream(NAME, entry)
 
 
 @given('a router that knows an engine with weights of version 3')
 def step_knows(context: Context) -> None:
     """Take the engine's first entry."""
-    context.knowledge = Knowledge(BOUNDS, LoadPolicy(), lambda: NOW_S)
-    context.knowledge.take_weights(NamedWeights(MODEL, 3), False)
-    context.knowledge.take_upstream(NAME, FIRST)
+    context.knowledge = ClusterState(BOUNDS, LoadPolicy(), lambda: NOW_S)
+    context.knowledge.record_release(ReleasedWeights(MODEL, 3), False)
+    context.knowledge.update_upstream(NAME, FIRST)
     context.before = _state(context)
 
 
@@ -94,14 +94,14 @@
 def step_learnt(context: Context) -> None:
     """Learn all that there is to learn."""
     state = context.before
-    context.ticket = state.open(50.0, 5, NOW_S)
-    state.open(50.0, 5, NOW_S)
+    context.ticket = state.open_request(50.0, 5, NOW_S)
+    state.open_request(50.0, 5, NOW_S)
     state.open_copy(300)
-    state.remember(WALL, PROMPT, ENGINE, NOW_S)
-    state.learn_first(200.0, NOW_S)
+    state.record_parts(WALL, PROMPT, ENGINE, NOW_S)
+    state.learn_lateness(200.0, NOW_S)
     state.learn_load(UpstreamLoad(4, 7, 4), NOW_S)
     for _ in range(3):
-        state.failed(NOW_S)
+        state.record_failure(NOW_S)
 
 
 @when('it starts again with weights of version {version:d}')
@@ -115,25 +115,25 @@
     """Look at all that is known of an upstream."""
     state = _state(context)
     assert state is not context.before
-    assert context.before.ended
-    assert not context.before.usable(NOW_S + 60)
-    assert context.knowledge.states(SERVICE) == [state]
-    assert state.usable(NOW_S)
+    assert context.before.replaced
+    assert not context.before.is_usable(NOW_S + 60)
+    assert context.knowledge.upstreams_of(SERVICE) == [state]
+    assert state.is_usable(NOW_S)
     assert state.weights(MODEL) == 2
     assert state.in_flight == 0
-    assert state.waiting(9) == 0
+    assert state.waiting_count(9) == 0
     assert state.copy_tokens == 0
-    assert state.others(NOW_S) == 0
-    assert state.excess_ms(NOW_S) == 0
-    assert not state.holds(WALL, 'aa', NOW_S)
+    assert state.other_requests(NOW_S) == 0
+    assert state.lateness_ms(NOW_S) == 0
+    assert not state.has_part(WALL, 'aa', NOW_S)
 
 
 @then('what the start before told later changes nothing')
 def step_told_later(context: Context) -> None:
     """Learn of the state that ended."""
     late = UpstreamReport(2, False, {MODEL: 9}, STARTED_MS)
-    assert not context.knowledge.take_report(context.before, late)
-    assert not context.knowledge.take_report(_state(context), late)
+    assert not context.knowledge.apply_report(context.before, late)
+    assert not context.knowledge.apply_report(_state(context), late)
     assert _state(context).weights(MODEL) == 2
 
 
@@ -141,15 +141,15 @@
 def step_old_end(context: Context) -> None:
     """End one that was open before and one that was opened since."""
     state = _state(context)
-    ticket = state.open(50.0, 5, NOW_S)
-    context.before.began(context.ticket)
-    context.before.closed()
+    ticket = state.open_request(50.0, 5, NOW_S)
+    context.before.mark_started(context.ticket)
+    context.before.close_request()
     context.before.close_copy(300)
     assert state.in_flight == 1
-    assert state.waiting(9) == 1
+    assert state.waiting_count(9) == 1
     assert state.copy_tokens == 0
-    state.began(ticket)
-    state.closed()
+    state.mark_started(ticket)
+    state.close_request()
     assert state.in_flight == 0
 
 
@@ -159,7 +159,7 @@
     run = UpstreamState(replace(FIRST, upstream_id='eng-2'))
     context.target = Target(run, 0.0, copy_to=context.before)
     placer = Placer(context.knowledge, 'east')
-    assert placer.go_on(context.target) is not None
+    assert placer.continuation(context.target) is not None
     _start_again(context, 3)
 
 
@@ -167,7 +167,7 @@
 def step_not_on(context: Context) -> None:
     """Look where the run would go on."""
     placer = Placer(context.knowledge, 'east')
-    assert placer.go_on(context.target) is None
+    assert placer.continuation(context.target) is None
 
 
 def _planner(context: Context, report: UpstreamReport) -> WeightsPlanner:
@@ -177,7 +177,7 @@
 
 
 def _order(context: Context, report: UpstreamReport, before: Any) -> None:
-    context.knowledge.take_weights(NamedWeights(MODEL, 4), False)
+    context.knowledge.record_release(ReleasedWeights(MODEL, 4), False)
     context.planner = _planner(context, report)
     context.control.before = before
     asyncio.run(context.planner._load(context.before, MODEL, 4))
@@ -228,20 +228,20 @@
     knowledge = context.knowledge
     earlier = replace(FIRST, leaving=True, started_ms=STARTED_MS - 1)
     if what == 'an entry of another service':
-        knowledge.take_upstream(NAME, replace(FIRST, service='registry'))
+        knowledge.update_upstream(NAME, replace(FIRST, service='registry'))
     if what.startswith('an entry with other weights'):
-        knowledge.take_upstream(NAME, replace(FIRST, weights={MODEL: 2}))
+        knowledge.update_upstream(NAME, replace(FIRST, weights={MODEL: 2}))
     if what == 'an entry that tells no start':
-        knowledge.take_upstream(NAME, replace(FIRST, started_ms=0))
+        knowledge.update_upstream(NAME, replace(FIRST, started_ms=0))
     if what == 'an entry of an earlier start':
-        knowledge.take_upstream(NAME, earlier)
+        knowledge.update_upstream(NAME, earlier)
     if what == 'an entry of an earlier start after it had gone':
-        knowledge.take_upstream(NAME, None)
-        knowledge.take_upstream(NAME, earlier)
+        knowledge.update_upstream(NAME, None)
+        knowledge.update_upstream(NAME, earlier)
     if what.startswith('an entry of this start'):
-        knowledge.take_upstream(NAME, replace(FIRST, leaving=True))
-        knowledge.take_upstream(NAME, None)
-        knowledge.take_upstream(NAME, FIRST)
+        knowledge.update_upstream(NAME, replace(FIRST, leaving=True))
+        knowledge.update_upstream(NAME, None)
+        knowledge.update_upstream(NAME, FIRST)
 
 
 @then('the engine {is_}')
@@ -249,22 +249,22 @@
     """Look at what is known of it now."""
     knowledge = context.knowledge
     if is_ == 'is not known':
-        assert knowledge.state(NAME) is None
-        assert knowledge.states(SERVICE) == []
+        assert knowledge.upstream(NAME) is None
+        assert knowledge.upstreams_of(SERVICE) == []
         return
     state = _state(context)
     if is_ == 'is as it was':
         assert state.upstream == FIRST, state.upstream
-        assert state.usable(NOW_S)
+        assert state.is_usable(NOW_S)
     if is_ == 'is leaving':
-        assert not state.usable(NOW_S)
+        assert not state.is_usable(NOW_S)
     if is_ == 'is due for 3':
         assert state.weights(MODEL) == 2
         report = UpstreamReport(0, False, {MODEL: 2}, STARTED_MS)
         context.planner = _planner(context, report)
         step_due(context)
     if is_ == 'is of that':
-        assert knowledge.states(SERVICE) == []
-        assert knowledge.states('registry') == [state]
-        knowledge.take_upstream(NAME, None)
-        assert knowledge.states('registry') == []
+        assert knowledge.upstreams_of(SERVICE) == []
+        assert knowledge.upstreams_of('registry') == [state]
+        knowledge.update_upstream(NAME, None)
+        assert knowledge.upstreams_of('registry') == []
--- a/features/steps/lease_orders_steps.py
+++ b/features/steps/lease_orders_steps.py
@@ -6,7 +6,7 @@
 from behave import then
 from behave import when
 from behave.runner import Context
-from lacewing_daemon.direct._knowledge import OLD_WEIGHTS_PART
+from lacewing_daemon.direct._cluster_state import OLD_WEIGHTS_FRACTION
 from support.direct_bench import BOUNDS
 from support.direct_bench import direct_bench
 from support.direct_bench import MODEL
@@ -77,7 +77,7 @@
     bench.routers.remove(router)
     bench.routers.insert(0, router)
     bench.until_ready()
-    limit_s = BOUNDS.weights_s * OLD_WEIGHTS_PART
+    limit_s = BOUNDS.weights_s * OLD_WEIGHTS_FRACTION
 
     def overdue() -> bool:
         return router.weights_age_s(MODEL) > limit_s
--- a/features/steps/load_times_steps.py
+++ b/features/steps/load_times_steps.py
@@ -6,7 +6,7 @@
 from behave.runner import Context
 from lacewing_daemon.direct._choice import EngineView
 from lacewing_daemon.direct._choice import place
-from lacewing_daemon.direct._loading import load_times
+from lacewing_daemon.direct._loading import load_schedule
 from lacewing_daemon.direct._policy import LoadPolicy
 
 MODEL = 'tutor'
@@ -31,14 +31,14 @@
 def step_two_routers(context: Context) -> None:
     """Compute the times twice."""
     turned = dict(reversed(context.weights.items()))
-    context.times = load_times(MODEL, 2, context.weights, POLICY)
-    context.others_times = load_times(MODEL, 2, turned, POLICY)
+    context.times = load_schedule(MODEL, 2, context.weights, POLICY)
+    context.others_times = load_schedule(MODEL, 2, turned, POLICY)
 
 
 @when('version 3 is named early')
 def step_early(context: Context) -> None:
     """Compute the times of the next version."""
-    context.times = load_times(MODEL, 3, context.weights, POLICY)
+    context.times = load_schedule(MODEL, 3, context.weights, POLICY)
 
 
 @then('both have the same times for all of them')
--- a/features/steps/log_load_steps.py
+++ b/features/steps/log_load_steps.py
@@ -20,10 +20,10 @@
     total = good + bad
     for number in range(total):
         failed = number * bad // total != (number + 1) * bad // total
-        if budget.take(failed, number / total):
+        if budget.allow(failed, number / total):
             context.told[failed] += 1
     context.ended = total
-    context.left_out = budget.take_left_out()
+    context.left_out = budget.pop_dropped_count()
     context.bad = bad
 
 
--- a/features/steps/many_routes_steps.py
+++ b/features/steps/many_routes_steps.py
@@ -7,17 +7,19 @@
 from behave import then
 from behave import when
 from behave.runner import Context
-from lacewing_daemon.direct import Directory
-from lacewing_platform._documents import DirectoryDecoder
+from lacewing_daemon.direct import RoutingConfig
+from lacewing_platform._documents import RoutingConfigDecoder
 from support.direct_bench import HOST
 from support.direct_bench import route
 
 
 def _decode(
     context: Context, version: int, routes: list[dict[str, Any]]
-) -> Directory:
+) -> RoutingConfig:
     written = msgspec.json.encode({'Version': version, 'Routes': routes})
-    decoded: Directory = context.decoder.decode('main', msgspec.Raw(written))
+    decoded: RoutingConfig = context.decoder.decode(
+        'main', msgspec.Raw(written)
+    )
     return decoded
 
 
@@ -26,7 +28,7 @@
     context: Context, one: str, two: str, three: str, four: str
 ) -> None:
     """Decode routes of several prefixes."""
-    context.decoder = DirectoryDecoder()
+    context.decoder = RoutingConfigDecoder()
     routes = [route(path, 'idempotent', path) for path in (one, two)]
     routes += [route(path, 'idempotent', path) for path in (three, four)]
     context.directory = _decode(context, 1, routes)
@@ -35,7 +37,7 @@
 @given('a route "{path}" to "{one}" and then one to "{two}"')
 def step_twice(context: Context, path: str, one: str, two: str) -> None:
     """Decode two routes of one prefix."""
-    context.decoder = DirectoryDecoder()
+    context.decoder = RoutingConfigDecoder()
     routes = [route(path, 'idempotent', service) for service in (one, two)]
     context.directory = _decode(context, 1, routes)
 
@@ -43,7 +45,7 @@
 @given('a configuration of {count:d} routes that was decoded')
 def step_decoded(context: Context, count: int) -> None:
     """Decode it."""
-    context.decoder = DirectoryDecoder()
+    context.decoder = RoutingConfigDecoder()
     context.routes = [
         route(f'/r/{number}/', 'idempotent', 'registry')
         for number in range(count)
@@ -91,7 +93,7 @@
     before = {id(one) for one in context.before.routes}
     same = [one for one in context.directory.routes if id(one) in before]
     assert len(same) == count, len(same)
-    context.decoder = DirectoryDecoder()
+    context.decoder = RoutingConfigDecoder()
     anew = _decode(context, 3, context.routes)
     assert anew == context.directory
     assert anew.routes[0].timeout_s == 1.234, anew.routes[0]
--- a/features/steps/peer_calls_steps.py
+++ b/features/steps/peer_calls_steps.py
@@ -10,9 +10,9 @@
 from grpclib.server import Server
 from grpclib.server import Stream
 from lacewing_common.codec import MsgpackCodec
+from lacewing_daemon.direct.crashes._messages import CrashReport
+from lacewing_daemon.direct.crashes._messages import CrashReportAck
 from lacewing_daemon.direct.crashes._messages import TELL_METHOD
-from lacewing_daemon.direct.crashes._messages import Told
-from lacewing_daemon.direct.crashes._messages import TookTold
 from lacewing_daemon.peers import Channels
 from lacewing_daemon.peers import NoReply
 from lacewing_platform_testing import free_ports
@@ -67,13 +67,15 @@
 
     def __mapping__(self) -> dict[str, Handler]:
         """Map the method for grpclib."""
-        handler = Handler(self._take, Cardinality.UNARY_UNARY, Told, TookTold)
+        handler = Handler(
+            self._take, Cardinality.UNARY_UNARY, CrashReport, CrashReportAck
+        )
         return {TELL_METHOD: handler}
 
-    async def _take(self, stream: Stream[Told, TookTold]) -> None:
+    async def _take(self, stream: Stream[CrashReport, CrashReportAck]) -> None:
         await stream.recv_message()
         await asyncio.sleep(2 * UNDER_WAY_S)
-        await stream.send_message(TookTold())
+        await stream.send_message(CrashReportAck())
 
 
 @when('two calls to a peer are under way and the first is late')
@@ -99,14 +101,16 @@
 
 async def _tell(channels: Channels, port: int, timeout_s: float) -> object:
     address = f'127.0.0.1:{port}'
-    told = Told('', ())
-    return await channels.call(address, TELL_METHOD, told, TookTold, timeout_s)
+    told = CrashReport('', ())
+    return await channels.call(
+        address, TELL_METHOD, told, CrashReportAck, timeout_s
+    )
 
 
 @then('the second is answered')
 def step_second(context: Context) -> None:
     """Look that it came to its end."""
-    assert context.answer == TookTold(), context.answer
+    assert context.answer == CrashReportAck(), context.answer
 
 
 async def _cancelled() -> bool:
--- a/features/steps/placement_orders_steps.py
+++ b/features/steps/placement_orders_steps.py
@@ -9,7 +9,7 @@
 from lacewing_bench.fake_agent import until
 from lacewing_bench.platform import Down
 from lacewing_bench.platform import FaultSwitches
-from lacewing_daemon.placement import Held
+from lacewing_daemon.placement import LeaseHeld
 from support.orders_bench import Giver
 from support.orders_bench import orders_bench_of
 from support.orders_bench import plan_of
@@ -77,7 +77,7 @@
     bench = orders_bench_of(context)
     lease = bench.giver(name).lease
     answer = bench.thread.call(lease.acquire())
-    assert isinstance(answer, Held) is (outcome == 'gets'), answer
+    assert isinstance(answer, LeaseHeld) is (outcome == 'gets'), answer
 
 
 @when('"{name}" releases the lease')
@@ -89,13 +89,13 @@
 @then('"{name}" holds the lease with fence {fence:d}')
 def then_holds(context: Context, name: str, fence: int) -> None:
     lease = orders_bench_of(context).giver(name).lease
-    assert lease.held
+    assert lease.is_held
     assert lease.fence == fence, lease.fence
 
 
 @then('"{name}" does not hold the lease')
 def then_holds_not(context: Context, name: str) -> None:
-    assert not orders_bench_of(context).giver(name).lease.held
+    assert not orders_bench_of(context).giver(name).lease.is_held
 
 
 @then('the worker obeyed {obeyed:d} and refused {refused:d} orders')
--- a/features/steps/router_count_steps.py
+++ b/features/steps/router_count_steps.py
@@ -10,7 +10,7 @@
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
 from lacewing_common.store import StoreFault
-from lacewing_daemon.direct._router_count import look_s
+from lacewing_daemon.direct._router_count import count_interval_s
 from lacewing_daemon.direct._router_count import RENEW_S
 from lacewing_daemon.direct._router_count import RouterCount
 from lacewing_daemon.direct._router_count import ROUTERS
@@ -130,7 +130,7 @@
 @when('{count:d} routers whose entries take {size:d} bytes look in turn')
 def step_many(context: Context, count: int, size: int) -> None:
     """Work out what each look reads, over the time between two."""
-    context.bytes_per_s = count * size / look_s(count)
+    context.bytes_per_s = count * size / count_interval_s(count)
 
 
 @then('each reads at most {most:d} bytes a second')
--- a/features/steps/silence_pace_steps.py
+++ b/features/steps/silence_pace_steps.py
@@ -8,10 +8,10 @@
 from behave.runner import Context
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._budget import RetryBudget
-from lacewing_daemon.direct._pace import Pace
 from lacewing_daemon.direct._policy import LoadPolicy
-from lacewing_daemon.direct._silence import SilenceWatch
-from lacewing_daemon.direct._silence import WatchedStream
+from lacewing_daemon.direct._silence_detector import SilenceDetector
+from lacewing_daemon.direct._silence_detector import WatchedStream
+from lacewing_daemon.direct._silence_history import SilenceHistory
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
 BEGIN_S = 100.0
@@ -68,10 +68,10 @@
 )
 def step_watch(context: Context, count: int, able: int) -> None:
     """Open streams at one engine, and one at another."""
-    context.watch = SilenceWatch(LEAST_S)
+    context.watch = SilenceDetector(LEAST_S)
     context.now_s = BEGIN_S
     context.cut = []
-    pace = Pace()
+    pace = SilenceHistory()
     context.state = _engine('up', pace)
     context.other = _engine('other', pace)
     for number in range(count):
@@ -81,7 +81,7 @@
     _hear_both(context)
 
 
-def _engine(name: str, pace: Pace) -> UpstreamState:
+def _engine(name: str, pace: SilenceHistory) -> UpstreamState:
     upstream = Upstream(name, 'models', '127.0.0.1:1', 'east', 8, False, {})
     return UpstreamState(upstream, pace)
 
@@ -92,18 +92,18 @@
     def cut() -> None:
         context.cut.append(number)
 
-    context.watch.opened(state, cut, True, 0.25, 2.0, lambda _: able)
+    context.watch.stream_opened(state, cut, True, 0.25, 2.0, lambda _: able)
 
 
 def _hear_both(context: Context) -> None:
     for state in (context.state, context.other):
-        context.watch.heard(state, context.now_s)
+        context.watch.data_received(state, context.now_s)
 
 
 def _hear_other(context: Context, ms: int) -> None:
     for later_ms in range(OTHER_MS, ms, OTHER_MS):
         now_s = context.now_s + later_ms / 1000
-        context.watch.heard(context.other, now_s)
+        context.watch.data_received(context.other, now_s)
 
 
 @when('their engine is heard after {ms:d} ms, {times:d} times')
@@ -112,7 +112,7 @@
     for _ in range(times):
         _hear_other(context, ms)
         context.now_s += ms / 1000
-        context.watch.heard(context.state, context.now_s)
+        context.watch.data_received(context.state, context.now_s)
 
 
 @when('no engine is heard for {ms:d} ms, {times:d} times')
@@ -128,7 +128,7 @@
     """Look at the streams at the end of a silence that goes on."""
     context.cut.clear()
     _hear_other(context, ms)
-    context.watch.look(context.now_s + ms / 1000)
+    context.watch.check(context.now_s + ms / 1000)
 
 
 @then('{count:d} stream is broken off')
@@ -147,21 +147,21 @@
         allowed += 1
     for _ in range(allowed - 1):
         assert budget.spend(0.0, 1, True)
-    watch = SilenceWatch(LEAST_S)
+    watch = SilenceDetector(LEAST_S)
     silent = UpstreamState(_upstream('silent'))
     other = UpstreamState(_upstream('other'))
     context.broken_off = []
     for number in range(count):
-        watch.opened(
+        watch.stream_opened(
             silent,
             partial(context.broken_off.append, number),
             True,
-            may_leave=lambda others: budget.allows(0.0, 1, True, others),
+            can_move=lambda others: budget.allows(0.0, 1, True, others),
         )
-    watch.opened(other, _no_cut, True)
-    watch.heard(silent, 0.0)
-    watch.heard(other, 1.0)
-    watch.look(1.0)
+    watch.stream_opened(other, _no_cut, True)
+    watch.data_received(silent, 0.0)
+    watch.data_received(other, 1.0)
+    watch.check(1.0)
 
 
 @then('one of them is broken off')
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -8,7 +8,7 @@
 from behave.runner import Context
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._policy import LoadPolicy
-from lacewing_daemon.direct._silence import SilenceWatch
+from lacewing_daemon.direct._silence_detector import SilenceDetector
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
 HEARD_S = 100.0
@@ -19,17 +19,17 @@
 )
 def step_streams(context: Context, count: int, sort: str, ago_ms: int) -> None:
     """Open streams at an engine that was heard once."""
-    context.watch = SilenceWatch(LoadPolicy().mute_ms / 1000)
+    context.watch = SilenceDetector(LoadPolicy().mute_ms / 1000)
     context.state = UpstreamState(
         Upstream('up', 'models', '127.0.0.1:1', 'east', 8, False, {})
     )
-    context.state.heard(HEARD_S)
+    context.state.data_received(HEARD_S)
     context.now_s = HEARD_S + ago_ms / 1000
     context.cut = []
     context.streams = []
     for number in range(count):
         cut = _cut(context, number)
-        context.watch.opened(context.state, cut, sort == 'plain')
+        context.watch.stream_opened(context.state, cut, sort == 'plain')
         context.streams.append(cut)
 
 
@@ -39,8 +39,8 @@
     other = UpstreamState(
         Upstream('other', 'models', '127.0.0.1:2', 'east', 8, False, {})
     )
-    other.heard(context.now_s - ago_ms / 1000)
-    context.watch.opened(other, _cut(context, -1), True)
+    other.data_received(context.now_s - ago_ms / 1000)
+    context.watch.stream_opened(other, _cut(context, -1), True)
 
 
 def _cut(context: Context, number: int) -> Callable[[], None]:
@@ -54,13 +54,13 @@
 def step_end(context: Context) -> None:
     """End two streams."""
     for cut in context.streams[:2]:
-        context.watch.closed(context.state, cut)
+        context.watch.stream_closed(context.state, cut)
 
 
 @when('open streams are looked at')
 def step_look(context: Context) -> None:
     """Look once."""
-    context.watch.look(context.now_s)
+    context.watch.check(context.now_s)
 
 
 @then('{count:d} of them are broken off')
--- a/features/steps/store_calls_steps.py
+++ b/features/steps/store_calls_steps.py
@@ -14,10 +14,10 @@
 from lacewing_common.store import StoreFault
 from lacewing_daemon.direct import Changes
 from lacewing_daemon.direct import Listing
-from lacewing_daemon.direct._eras import StoreEras
-from lacewing_daemon.direct._followed import Followed
-from lacewing_daemon.direct._store_calls import CountedObjects
-from lacewing_daemon.direct._store_calls import StoreCalls
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
+from lacewing_daemon.direct._store_calls import InstrumentedObjects
+from lacewing_daemon.direct._store_calls import StoreCallCounter
+from lacewing_daemon.direct._store_eras import StoreEras
 from lacewing_platform_testing import StoreMode
 from prometheus_client import REGISTRY
 from steps.followed_steps import Answered
@@ -64,8 +64,8 @@
 def step_counted(context: Context, name: str) -> None:
     """Make a follower with a clock of its own."""
     context.scripted = Scripted()
-    context.calls = StoreCalls()
-    context.follower = Followed(
+    context.calls = StoreCallCounter()
+    context.follower = CollectionWatcher(
         name,
         context.scripted,
         WAIT_S,
@@ -97,8 +97,10 @@
 @given('a store of own objects whose calls are counted')
 def step_own_objects(context: Context) -> None:
     """Count the calls for own objects."""
-    context.calls = StoreCalls()
-    context.objects = CountedObjects(_NoObjects(), context.calls, StoreEras())
+    context.calls = StoreCallCounter()
+    context.objects = InstrumentedObjects(
+        _NoObjects(), context.calls, StoreEras()
+    )
 
 
 @when('an object is written, read, looked at cheaply and removed')
@@ -119,8 +121,8 @@
 def step_logged(context: Context) -> None:
     """Log them with nothing between."""
     with capture_logs() as context.lines:
-        context.calls.tell()
-        context.calls.tell()
+        context.calls.log_counts()
+        context.calls.log_counts()
 
 
 @then('these calls were counted')
--- a/features/steps/store_returns_own_steps.py
+++ b/features/steps/store_returns_own_steps.py
@@ -8,19 +8,19 @@
 from behave import then
 from behave import when
 from behave.runner import Context
-from lacewing_daemon.direct._eras import StoreEras
-from lacewing_daemon.direct._followed import Followed
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
 from lacewing_daemon.direct._router_count import RENEW_S
 from lacewing_daemon.direct._router_count import RouterCount
 from lacewing_daemon.direct._router_count import ROUTERS
-from lacewing_daemon.direct._store_calls import CountedObjects
-from lacewing_daemon.direct._store_calls import StoreCalls
+from lacewing_daemon.direct._store_calls import InstrumentedObjects
+from lacewing_daemon.direct._store_calls import StoreCallCounter
+from lacewing_daemon.direct._store_eras import StoreEras
+from lacewing_daemon.direct.crashes._crash_store import CRASHES
+from lacewing_daemon.direct.crashes._crash_store import CrashStore
 from lacewing_daemon.direct.crashes._record import CrashRecord
-from lacewing_daemon.direct.crashes._record import Start
-from lacewing_daemon.direct.crashes._stored import CRASHES
-from lacewing_daemon.direct.crashes._stored import StoredCrashes
-from lacewing_daemon.lease import Held
+from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
 from lacewing_daemon.lease import Lease
+from lacewing_daemon.lease import LeaseHeld
 from lacewing_daemon.lease import LEASES
 from steps.followed_steps import Scripted
 from support.orders_bench import ManualClock
@@ -51,7 +51,7 @@
 
 def _acquire(context: Context, name: str) -> bool:
     answer = asyncio.run(_lease(context, name).acquire())
-    return isinstance(answer, Held)
+    return isinstance(answer, LeaseHeld)
 
 
 def _pass(context: Context, span_s: float) -> None:
@@ -135,7 +135,7 @@
 def step_no_belief(context: Context, name: str) -> None:
     """Renew in the new era; the condition holds by chance."""
     assert not _acquire(context, name)
-    assert not _lease(context, name).held
+    assert not _lease(context, name).is_held
 
 
 @when('the answer to a renewal is lost and the store returns')
@@ -184,7 +184,7 @@
     context.counts = []
     for number in range(3):
         eras = StoreEras()
-        store = CountedObjects(context.store, StoreCalls(), eras)
+        store = InstrumentedObjects(context.store, StoreCallCounter(), eras)
         context.counts.append(
             RouterCount(
                 store,
@@ -262,14 +262,18 @@
     """Write a record through the store of crashes."""
     context.store.copy()
     context.eras = StoreEras()
-    store = CountedObjects(context.store, StoreCalls(), context.eras)
+    store = InstrumentedObjects(
+        context.store, StoreCallCounter(), context.eras
+    )
     unused: Any = Scripted()
-    followed: Followed[str] = Followed(CRASHES, unused, 1.0, Random())
-    context.stored = StoredCrashes(
+    followed: CollectionWatcher[str] = CollectionWatcher(
+        CRASHES, unused, 1.0, Random()
+    )
+    context.stored = CrashStore(
         store, followed, 'router-1', Random(), context.eras, context.clock
     )
-    context.stored.store(CrashRecord(Start('engine-1', 1), ()))
-    context.eras.take(1)
+    context.stored.save(CrashRecord(UpstreamIncarnation('engine-1', 1), ()))
+    context.eras.observe(1)
     _write_due(context)
     assert _crashes(context) == 1
 
@@ -278,7 +282,7 @@
 def step_crash_again(context: Context) -> None:
     """Tell the era, as any answer does."""
     assert _crashes(context) == 0
-    context.eras.take(context.store.era)
+    context.eras.observe(context.store.era)
     _write_due(context)
     assert _crashes(context) == 1
 
--- a/features/steps/store_series_steps.py
+++ b/features/steps/store_series_steps.py
@@ -9,9 +9,9 @@
 from behave.runner import Context
 from lacewing_daemon.direct import Changes
 from lacewing_daemon.direct import Listing
-from lacewing_daemon.direct._fleet import UPSTREAMS_GATHER_S
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
+from lacewing_daemon.direct._fleet import UPSTREAMS_BATCH_DELAY_S
 from lacewing_daemon.direct._fleet import UPSTREAMS_WAIT_S
-from lacewing_daemon.direct._followed import Followed
 
 # What one call and its answer take on the way to the store and back.
 CALL_S = 0.01
@@ -72,12 +72,12 @@
 def step_follow(context: Context) -> None:
     """Make calls until all changes are told."""
     store = context.store
-    follower: Followed[int] = Followed(
+    follower: CollectionWatcher[int] = CollectionWatcher(
         'upstreams',
         store,
         UPSTREAMS_WAIT_S,
         Random(),
-        gather_s=UPSTREAMS_GATHER_S,
+        batch_delay_s=UPSTREAMS_BATCH_DELAY_S,
         clock=store.clock,
     )
     context.late_s = []
--- a/features/steps/subjects_steps.py
+++ b/features/steps/subjects_steps.py
@@ -13,8 +13,8 @@
 from lacewing_daemon.direct import Share
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._admission import Admitted
-from lacewing_daemon.direct._candidates import in_order
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._candidates import by_preference
+from lacewing_daemon.direct._cluster_state import ClusterState
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._policy import LoadPolicy
 from lacewing_daemon.direct._target import Target
@@ -36,16 +36,16 @@
 
 def _make(context: Context, speed: float) -> None:
     policy = LoadPolicy(prefill_tokens_per_ms=speed)
-    context.knowledge = Knowledge(BOUNDS, policy, lambda: NOW_S)
+    context.knowledge = ClusterState(BOUNDS, policy, lambda: NOW_S)
     for name in ('m-1', 'm-2'):
         upstream = Upstream(
             name, SERVICE, f'{name}:1', 'east', 8, False, {MODEL: 1}
         )
-        context.knowledge.take_upstream(name, upstream)
+        context.knowledge.update_upstream(name, upstream)
     context.prompt = PROMPT
     context.placer = Placer(context.knowledge, 'east')
-    states = context.knowledge.states(SERVICE)
-    context.first, context.other = in_order(PROMPT, states)
+    states = context.knowledge.upstreams_of(SERVICE)
+    context.first, context.other = by_preference(PROMPT, states)
 
 
 @given(
@@ -70,16 +70,16 @@
 def step_waits(context: Context, wait_ms: int) -> None:
     """Let an own request wait there."""
     if wait_ms:
-        context.first.open(float(wait_ms), URGENCY, NOW_S)
+        context.first.open_request(float(wait_ms), URGENCY, NOW_S)
 
 
 @when('the other engine was sent the shared parts before')
 def step_sent(context: Context) -> None:
     """Note what was sent."""
-    wall = _place(context).wall
+    wall = _place(context).cache_salt
     engine = _service().engine
     assert wall is not None and engine is not None
-    context.other.remember(wall, PROMPT, engine, NOW_S)
+    context.other.record_parts(wall, PROMPT, engine, NOW_S)
 
 
 @when('the prompt names no parts')
@@ -106,7 +106,7 @@
 @then('its first event is expected after at least {least_ms:d} ms')
 def step_expected(context: Context, least_ms: int) -> None:
     """Place it."""
-    first_ms = _place(context).first_ms
+    first_ms = _place(context).first_event_ms
     assert first_ms >= least_ms, first_ms
 
 
--- a/features/steps/unreachable_steps.py
+++ b/features/steps/unreachable_steps.py
@@ -94,9 +94,9 @@
         Upstream('u', 's', '127.0.0.1:1', 'z', 4, False, {}, 0)
     )
     if fails == 'is refused':
-        context.state.refused_connection(FAILED_S)
+        context.state.record_refused_connection(FAILED_S)
     else:
-        context.state.failed(FAILED_S)
+        context.state.record_failure(FAILED_S)
 
 
 @then('that prompt is refused at once with a time to come back')
@@ -110,4 +110,4 @@
 def step_used(context: Context, used: str, later_s: float) -> None:
     """Ask whether it may be used."""
     expected = used == 'used'
-    assert context.state.usable(FAILED_S + later_s) is expected
+    assert context.state.is_usable(FAILED_S + later_s) is expected
--- a/features/steps/weights_gap_steps.py
+++ b/features/steps/weights_gap_steps.py
@@ -11,11 +11,11 @@
 from lacewing_common.store import StoreFault
 from lacewing_daemon.direct import Changes
 from lacewing_daemon.direct import Collection
-from lacewing_daemon.direct import HistoryGone
+from lacewing_daemon.direct import HistoryExpired
 from lacewing_daemon.direct import Listing
-from lacewing_daemon.direct._followed import Followed
-from lacewing_daemon.direct._knowledge import Knowledge
-from lacewing_daemon.direct._namings import floor_of
+from lacewing_daemon.direct._cluster_state import ClusterState
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
+from lacewing_daemon.direct._weights_releases import min_allowed_version
 from support.direct_bench import direct_bench
 from support.direct_bench import MODEL
 from support.direct_bench import PREFIX
@@ -26,10 +26,10 @@
 LIMIT_S = 10.0
 _NAMED = 'named'
 _SECOND = Changes(((_NAMED, 2),), 2)
-_CALLS: dict[str, Changes[int] | HistoryGone | StoreError] = {
+_CALLS: dict[str, Changes[int] | HistoryExpired | StoreError] = {
     'waits for a change': _SECOND,
     'whose call for changes fails': StoreError(StoreFault.UNAVAILABLE, 'x'),
-    'whose store drops its history': HistoryGone('x'),
+    'whose store drops its history': HistoryExpired('x'),
 }
 
 
@@ -37,7 +37,7 @@
     """Answer one list, then what a scenario says, then a second value."""
 
     def __init__(
-        self, answer: Changes[int] | HistoryGone | StoreError
+        self, answer: Changes[int] | HistoryExpired | StoreError
     ) -> None:
         self.answer = answer
         self.after_s = 0.0
@@ -51,7 +51,7 @@
 
     async def changes(
         self, since: int, wait_s: float
-    ) -> Changes[int] | HistoryGone | StoreError:
+    ) -> Changes[int] | HistoryExpired | StoreError:
         """Give the answer, then the second value, then nothing."""
         if since > 1:
             await asyncio.Event().wait()
@@ -76,7 +76,7 @@
 def step_started(context: Context, ago_s: float) -> None:
     """Tell the router when that was."""
     router = context.weights_router
-    router.knowledge.take_start(router.clock.now_s - ago_s)
+    router.knowledge.set_process_start(router.clock.now_s - ago_s)
 
 
 @when('it finds version {version:d} as it starts')
@@ -114,13 +114,15 @@
 async def _follow(
     store: Collection[int], wait_s: float = 4.0, last: int = 2
 ) -> dict[int, float]:
-    followed: Followed[int] = Followed('entries', store, wait_s, Random())
+    followed: CollectionWatcher[int] = CollectionWatcher(
+        'entries', store, wait_s, Random()
+    )
     unsure = {}
     told_all = asyncio.Event()
 
     def told(_name: str, value: int | None) -> None:
         assert value is not None
-        unsure[value] = followed.unsure_s
+        unsure[value] = followed.max_change_age_s
         if value == last:
             told_all.set()
 
@@ -198,7 +200,7 @@
 @then('it knows that version {version:d} is named')
 def step_knows(context: Context, version: int) -> None:
     """Look at what it knows."""
-    named = _knowledge(context).named_weights(MODEL)
+    named = _knowledge(context).current_release(MODEL)
     assert named.version == version, named
 
 
@@ -209,8 +211,11 @@
     knowledge = _knowledge(context)
 
     def overdue() -> bool:
-        namings = knowledge.namings(MODEL)
-        return floor_of(namings, knowledge.old_limit_s) > version
+        namings = knowledge.releases(MODEL)
+        return (
+            min_allowed_version(namings, knowledge.old_weights_limit_s)
+            > version
+        )
 
     bench.until(overdue, f'an end of version {version}')
     before = len(bench.received())
@@ -222,5 +227,5 @@
     assert asked and min(asked) > version, asked
 
 
-def _knowledge(context: Context) -> Knowledge:
-    return direct_bench(context).routers[0]._fleet.knowledge
+def _knowledge(context: Context) -> ClusterState:
+    return direct_bench(context).routers[0]._fleet.cluster_state
--- a/features/steps/weights_series_steps.py
+++ b/features/steps/weights_series_steps.py
@@ -9,10 +9,10 @@
 from behave import then
 from behave import when
 from behave.runner import Context
-from lacewing_daemon.direct._knowledge import OLD_WEIGHTS_PART
+from lacewing_daemon.direct._cluster_state import OLD_WEIGHTS_FRACTION
 from lacewing_daemon.direct._loading import EngineWeights
-from lacewing_daemon.direct._loading import load_times
-from lacewing_daemon.direct._loading import nearly_overdue_s
+from lacewing_daemon.direct._loading import load_schedule
+from lacewing_daemon.direct._loading import nearly_overdue_after_s
 from lacewing_daemon.direct._loading import next_loads
 from lacewing_daemon.direct._loading import REPEAT_S
 from lacewing_daemon.direct._policy import LoadPolicy
@@ -20,7 +20,7 @@
 from support.direct_bench import MODEL
 
 POLICY = LoadPolicy()
-NEAR_S = nearly_overdue_s(BOUNDS.weights_s * OLD_WEIGHTS_PART)
+NEAR_S = nearly_overdue_after_s(BOUNDS.weights_s * OLD_WEIGHTS_FRACTION)
 LOOK_S = 0.1
 LOAD_S = 0.4
 LONG_AGO_S = 1000.0
@@ -60,7 +60,7 @@
         version = self.namings[-1][0] + 1
         self.namings.append((version, now_s))
         has = {name: one.version for name, one in self.engines.items()}
-        self._times = dict(load_times(MODEL, version, has, POLICY))
+        self._times = dict(load_schedule(MODEL, version, has, POLICY))
 
     def look(self, now_s: float) -> None:
         """Let engines load, and order those that are due."""
@@ -129,12 +129,12 @@
             if waits and view.ordered_ago_s < REPEAT_S:
                 under_way += 1
             if view.upstream_id in chosen:
-                last_s = max(last_s, view.near_in_s)
+                last_s = max(last_s, view.nearly_overdue_in_s)
         self.most_at_once = max(self.most_at_once, under_way)
         for view in views:
             if view.upstream_id in chosen or view.ordered_ago_s < REPEAT_S:
                 continue
-            if view.near_in_s < min(0.0, last_s):
+            if view.nearly_overdue_in_s < min(0.0, last_s):
                 self.passed_over.append((now_s, view.upstream_id))
 
     def _lacks_s(self, version: int, now_s: float) -> float:
@@ -146,7 +146,7 @@
 def step_near(context: Context) -> None:
     """Set the first engine's time."""
     context.near = context.engines[0].upstream_id
-    context.engines[0] = replace(context.engines[0], near_in_s=-0.1)
+    context.engines[0] = replace(context.engines[0], nearly_overdue_in_s=-0.1)
 
 
 @then('just that one is ordered')
--- a/features/support/known_engines.py
+++ b/features/support/known_engines.py
@@ -3,14 +3,14 @@
 from collections.abc import Mapping
 from collections.abc import Sequence
 
-from lacewing_daemon.direct import Directory
 from lacewing_daemon.direct import Engine
 from lacewing_daemon.direct import Limits
 from lacewing_daemon.direct import Route
+from lacewing_daemon.direct import RoutingConfig
 from lacewing_daemon.direct import Service
 from lacewing_daemon.direct import Share
 from lacewing_daemon.direct import Upstream
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._cluster_state import ClusterState
 
 MODEL = 'tutor'
 SERVICE_NAME = 'models'
@@ -35,18 +35,20 @@
 
 
 def know_engines(
-    knowledge: Knowledge,
+    knowledge: ClusterState,
     zones: Sequence[str],
     others: Mapping[str, Service] | None = None,
 ) -> list[str]:
     """Tell of one engine in each zone named; return their ids."""
     services = {SERVICE_NAME: SERVICE, **(others or {})}
-    knowledge.take_directory(Directory(1, (ROUTE,), services, None, _LIMITS))
+    knowledge.update_routing_config(
+        RoutingConfig(1, (ROUTE,), services, None, _LIMITS)
+    )
     names = []
     for number, zone in enumerate(zones):
         name = f'engine-{number}'
         address = f'127.0.0.1:{number + 1}'
-        knowledge.take_upstream(
+        knowledge.update_upstream(
             name,
             Upstream(
                 name, SERVICE_NAME, address, zone, SLOTS, False, {MODEL: 1}
--- a/packages/bench/src/lacewing_bench/crash_errors/_model.py
+++ b/packages/bench/src/lacewing_bench/crash_errors/_model.py
@@ -13,8 +13,8 @@
 from random import Random
 
 from lacewing_daemon.direct.crashes import CrashRecord
-from lacewing_daemon.direct.crashes import Start
 from lacewing_daemon.direct.crashes import Suspect
+from lacewing_daemon.direct.crashes import UpstreamIncarnation
 
 from lacewing_bench.crash_errors._rules import Rule
 
@@ -104,7 +104,7 @@
         self._now_s = 0.0
         self._ids = count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._ledger = rule.ledger(lambda: self._now_s)
+        self._registry = rule.registry(lambda: self._now_s)
         self._engines = [_Engine(number) for number in range(load.engines)]
         self._shut_out: set[str] = set()
         self._crashes = 0
@@ -169,7 +169,7 @@
         self._after(wait_s, self._stray)
 
     def _send(self, request: _Request) -> None:
-        if request.fingerprint in self._ledger.blocked:
+        if request.fingerprint in self._registry.blocked:
             if not request.crashes:
                 self._shut_out.add(request.fingerprint)
             return
@@ -218,14 +218,15 @@
 
     def _end(self, engine: _Engine, run_id: int) -> None:
         self._answered += 1
-        self._ledger.clear(engine.runs.pop(run_id).request.fingerprint)
+        self._registry.clear(engine.runs.pop(run_id).request.fingerprint)
 
     def _crash(self, engine: _Engine) -> None:
         self._crashes += 1
         runs = tuple(engine.runs.values())
         self._broken += len(runs)
         record = CrashRecord(
-            Start(str(engine.number), engine.start), tuple(_suspects(runs))
+            UpstreamIncarnation(str(engine.number), engine.start),
+            tuple(_suspects(runs)),
         )
         engine.runs.clear()
         engine.start += 1
@@ -240,7 +241,7 @@
             self._break_off(run.request, engine.number)
 
     def _hear(self, record: CrashRecord) -> None:
-        self._ledger.take(record)
+        self._registry.merge(record)
 
     def _break_off(self, request: _Request, number: int) -> None:
         if request.repeats:
--- a/packages/bench/src/lacewing_bench/crash_errors/_rules.py
+++ b/packages/bench/src/lacewing_bench/crash_errors/_rules.py
@@ -4,21 +4,21 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lacewing_daemon.direct.crashes import CrashLedger
 from lacewing_daemon.direct.crashes import CrashRecord
-from lacewing_daemon.direct.crashes import Start
+from lacewing_daemon.direct.crashes import CrashRegistry
+from lacewing_daemon.direct.crashes import UpstreamIncarnation
 
 Clock = Callable[[], float]
 
 
-class Ledger(Protocol):
+class Registry(Protocol):
     """Hold crashes and tell which requests are blocked from upstreams."""
 
     @property
     def blocked(self) -> frozenset[str]:
         """Return the fingerprints of what is blocked."""
 
-    def take(self, record: CrashRecord) -> object:
+    def merge(self, record: CrashRecord) -> object:
         """Take what ran at a crash."""
 
     def clear(self, fingerprint: str) -> object:
@@ -30,7 +30,7 @@
 
     def __init__(self, to_block: float) -> None:
         self._to_block = to_block
-        self._under: dict[str, set[Start]] = {}
+        self._under: dict[str, set[UpstreamIncarnation]] = {}
 
     @property
     def blocked(self) -> frozenset[str]:
@@ -41,7 +41,7 @@
                 found.add(fingerprint)
         return frozenset(found)
 
-    def take(self, record: CrashRecord) -> None:
+    def merge(self, record: CrashRecord) -> None:
         """Take what ran at a crash."""
         for suspect in record.suspects:
             starts = self._under.setdefault(suspect.fingerprint, set())
@@ -54,16 +54,16 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """Name a rule and make its ledger."""
+    """Name a rule and make its registry."""
 
     name: str
-    ledger: Callable[[Clock], Ledger]
+    registry: Callable[[Clock], Registry]
 
 
 NONE = Rule('nothing is blocked', lambda _clock: CountedAlone(float('inf')))
 COUNTED_2 = Rule('2 crashes, counted alone', lambda _clock: CountedAlone(2))
 COUNTED_3 = Rule('3 crashes, counted alone', lambda _clock: CountedAlone(3))
 # One less than each is enough if it is the only one and brought no event.
-EXPLAINED_2 = Rule('2, explained', lambda clock: CrashLedger(2, clock))
-USED = Rule('3, explained (in use)', lambda clock: CrashLedger(clock=clock))
-EXPLAINED_4 = Rule('4, explained', lambda clock: CrashLedger(4, clock))
+EXPLAINED_2 = Rule('2, explained', lambda clock: CrashRegistry(2, clock))
+USED = Rule('3, explained (in use)', lambda clock: CrashRegistry(clock=clock))
+EXPLAINED_4 = Rule('4, explained', lambda clock: CrashRegistry(4, clock))
--- a/packages/bench/src/lacewing_bench/experiment/_router.py
+++ b/packages/bench/src/lacewing_bench/experiment/_router.py
@@ -4,27 +4,27 @@
 from dataclasses import dataclass
 
 from lacewing_daemon.direct import CallerRequest
-from lacewing_daemon.direct import Directory
 from lacewing_daemon.direct import Engine as EngineLimits
 from lacewing_daemon.direct import KvStore
 from lacewing_daemon.direct import Limits
-from lacewing_daemon.direct import NamedWeights
 from lacewing_daemon.direct import Prompt
+from lacewing_daemon.direct import ReleasedWeights
 from lacewing_daemon.direct import Route
+from lacewing_daemon.direct import RoutingConfig
 from lacewing_daemon.direct import Service
 from lacewing_daemon.direct import Share
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct import UpstreamLoad
 from lacewing_daemon.direct._admission import Admitted
-from lacewing_daemon.direct._choice import NoRoom
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._choice import NoCapacity
+from lacewing_daemon.direct._cluster_state import ClusterState
 from lacewing_daemon.direct._learning import learn_first_event
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._policy import LoadPolicy
 from lacewing_daemon.direct._settings import Bounds
-from lacewing_daemon.direct._silence import SilenceWatch
+from lacewing_daemon.direct._silence_detector import SilenceDetector
 from lacewing_daemon.direct._target import Target
-from lacewing_daemon.direct._upstream_state import Ticket
+from lacewing_daemon.direct._upstream_state import OpenRequest
 from tornado.httputil import HTTPHeaders
 
 from lacewing_bench.experiment._engine import Engine
@@ -52,7 +52,7 @@
     """Hold a request that was sent and what must be undone at its end."""
 
     target: Target
-    ticket: Ticket
+    ticket: OpenRequest
     prompt: Prompt
     sent_ms: float
 
@@ -86,9 +86,9 @@
         kept = KvStore('kept', 'zone-0', 1_000_000, _LINK_BYTES_PER_S)
         self._routes = {kind.name: _route(kind) for kind in site.kinds}
         self._service = service
-        self.knowledge = Knowledge(_BOUNDS, policy, self._clock_s)
-        self.knowledge.take_directory(
-            Directory(
+        self.knowledge = ClusterState(_BOUNDS, policy, self._clock_s)
+        self.knowledge.update_routing_config(
+            RoutingConfig(
                 1,
                 tuple(self._routes.values()),
                 {SERVICE: service, 'kept': Service('kept', 0, None, kept)},
@@ -98,7 +98,7 @@
         )
         for number in range(site.engines):
             name = engine_name(number)
-            self.knowledge.take_upstream(
+            self.knowledge.update_upstream(
                 name,
                 Upstream(
                     name,
@@ -110,7 +110,7 @@
                     {MODEL: 1},
                 ),
             )
-        self._silence = SilenceWatch(policy.mute_ms / _MS)
+        self._silence = SilenceDetector(policy.mute_ms / _MS)
         self._placer = Placer(self.knowledge, f'zone-{zone % site.zones}')
         self.name_weights(1, True)
 
@@ -121,7 +121,9 @@
     def name_weights(self, version: int, before: bool) -> None:
         """Learn that a version was named."""
         unsure_s = float('inf') if before else 0.0
-        self.knowledge.take_weights(NamedWeights(MODEL, version), unsure_s)
+        self.knowledge.record_release(
+            ReleasedWeights(MODEL, version), unsure_s
+        )
 
     def place(
         self,
@@ -130,7 +132,7 @@
         excluded: frozenset[str],
         left_ms: float,
         now_ms: float,
-    ) -> Target | NoRoom:
+    ) -> Target | NoCapacity:
         """Decide on a request."""
         self._now_ms = now_ms
         return self._placer.place(
@@ -144,14 +146,18 @@
     def send(self, target: Target, prompt: Prompt, now_ms: float) -> Sent:
         """Count a request as sent."""
         now_s = now_ms / _MS
-        self._placer.kept.note_sent(target, prompt, self._limits, now_s)
-        ticket = target.state.open(target.read_ms, target.urgency, now_s)
+        self._placer.cached_parts.record_sent(
+            target, prompt, self._limits, now_s
+        )
+        ticket = target.state.open_request(
+            target.prefill_ms, target.urgency, now_s
+        )
         return Sent(target, ticket, prompt, now_ms)
 
     def refused(self, sent: Sent, engine: Engine, now_ms: float) -> None:
         """Learn that an engine loads; it is left alone for a moment."""
-        sent.target.state.began(sent.ticket)
-        sent.target.state.closed()
+        sent.target.state.mark_started(sent.ticket)
+        sent.target.state.close_request()
         sent.target.state.pause(now_ms / _MS, _PAUSE_S)
         self._learn(sent.target, engine)
 
@@ -168,38 +174,40 @@
         there are none, so they tell of their engine, and are never left.
         """
         route = self._routes[kind.name]
-        self._silence.opened(
+        self._silence.stream_opened(
             sent.target.state,
             cut,
             route.may_repeat,
             route.pause_s,
-            route.leaves_s,
+            route.abandon_after_s,
             may_leave if route.may_repeat else _never,
         )
 
     def heard(self, sent: Sent, now_ms: float) -> None:
         """Note an event of a stream."""
-        self._silence.heard(sent.target.state, now_ms / _MS)
+        self._silence.data_received(sent.target.state, now_ms / _MS)
 
     def look(self, now_ms: float) -> None:
         """Break off the streams of engines taken for lost."""
-        self._silence.look(now_ms / _MS)
+        self._silence.check(now_ms / _MS)
 
     def began(self, sent: Sent, engine: Engine, now_ms: float) -> None:
         """Learn from a first event."""
         now_s = now_ms / _MS
         state = sent.target.state
-        state.began(sent.ticket)
+        state.mark_started(sent.ticket)
         load = UpstreamLoad(
             len(engine.running), len(engine.waiting), engine.model.slots
         )
         state.learn_load(load, now_s)
         self._learn(sent.target, engine)
-        self._placer.kept.note_read(sent.target, sent.prompt, now_s)
-        counted_ms = sent.target.first_ms - sent.target.excess_ms
+        self._placer.cached_parts.record_prefilled(
+            sent.target, sent.prompt, now_s
+        )
+        counted_ms = sent.target.first_event_ms - sent.target.lateness_ms
         took_ms = now_ms - sent.sent_ms
         if self._learning:
-            state.learn_first(took_ms - counted_ms, now_s)
+            state.learn_lateness(took_ms - counted_ms, now_s)
         if self._estimating:
             learn_first_event(
                 self.knowledge.estimates(SERVICE),
@@ -211,8 +219,8 @@
 
     def ended(self, sent: Sent, cut: Callable[[], None]) -> None:
         """Count a request as ended."""
-        self._silence.closed(sent.target.state, cut)
-        sent.target.state.closed()
+        self._silence.stream_closed(sent.target.state, cut)
+        sent.target.state.close_request()
 
     def _learn(self, target: Target, engine: Engine) -> None:
         self.knowledge.learn_weights(target.state, MODEL, engine.weights)
--- a/packages/bench/src/lacewing_bench/experiment/_simulation.py
+++ b/packages/bench/src/lacewing_bench/experiment/_simulation.py
@@ -8,11 +8,11 @@
 
 from lacewing_daemon.direct import Prompt
 from lacewing_daemon.direct import PromptPart
-from lacewing_daemon.direct._choice import NoRoom
+from lacewing_daemon.direct._choice import NoCapacity
 from lacewing_daemon.direct._loading import EngineWeights
 from lacewing_daemon.direct._loading import next_loads
 from lacewing_daemon.direct._policy import LoadPolicy
-from lacewing_daemon.direct._silence import LOOK_S
+from lacewing_daemon.direct._silence_detector import CHECK_INTERVAL_S
 
 from lacewing_bench.experiment._engine import Engine
 from lacewing_bench.experiment._engine import Run
@@ -185,7 +185,7 @@
         target = one.router.place(
             one.kind, one.prompt, one.tried, left_ms, self._now_ms
         )
-        if isinstance(target, NoRoom) or one.sends >= MOST_SENDS:
+        if isinstance(target, NoCapacity) or one.sends >= MOST_SENDS:
             self._outcome.refused(one.kind)
             return
         one.sends += 1
@@ -204,13 +204,13 @@
         self._number += 1
         one.runs += 1
         run = Run(
-            target.wall or '',
+            target.cache_salt or '',
             one.prompt.parts,
             one.answer_tokens - one.made,
             target.urgency,
             self._number,
             engine.weights,
-            self._outcome.kept(target.wall or '', one.prompt),
+            self._outcome.kept(target.cache_salt or '', one.prompt),
             self._is_old(engine),
         )
         one.run = run
@@ -290,7 +290,7 @@
     def _look(self) -> None:
         for router in self._routers:
             router.look(self._now_ms)
-        self._at(self._now_ms + LOOK_S * _MS, self._look)
+        self._at(self._now_ms + CHECK_INTERVAL_S * _MS, self._look)
 
     def _may_leave(self, one: _Open, _others: int) -> bool:
         """Tell whether a stream could be finished elsewhere."""
@@ -305,7 +305,7 @@
             float('inf'),
             self._now_ms,
         )
-        return not isinstance(target, NoRoom)
+        return not isinstance(target, NoCapacity)
 
     def _cut(self, run: Run, engine: Engine) -> None:
         """Break a stream off; it goes on elsewhere."""
@@ -332,7 +332,7 @@
         """Order loads as the holder does; the first router gives them."""
         holder = self._routers[0]
         holder.place_time(self._now_ms)
-        times = holder.knowledge.load_times(MODEL)
+        times = holder.knowledge.load_schedule(MODEL)
         age_s = (self._now_ms - self._named_ms) / _MS
         views = []
         for number, engine in enumerate(self._engines):
@@ -367,8 +367,8 @@
             one = self._open.pop(run, None)
             if one is None or one.sent is None:
                 continue
-            one.sent.target.state.began(one.sent.ticket)
-            one.sent.target.state.closed()
+            one.sent.target.state.mark_started(one.sent.ticket)
+            one.sent.target.state.close_request()
             self._outcome.lost(one.kind)
         at_ms = self._now_ms + self._pattern.crash_every_s * _MS
         self._at(at_ms, self._crash)
--- a/packages/daemon/src/lacewing_daemon/direct/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/direct/__init__.py
@@ -4,21 +4,21 @@
 from lacewing_daemon.direct._call import Prompt
 from lacewing_daemon.direct._call import PromptPart
 from lacewing_daemon.direct._clock import process_start_s
-from lacewing_daemon.direct._directory import Directory
-from lacewing_daemon.direct._directory import Engine
-from lacewing_daemon.direct._directory import KvStore
-from lacewing_daemon.direct._directory import Limits
-from lacewing_daemon.direct._directory import Route
-from lacewing_daemon.direct._directory import Service
-from lacewing_daemon.direct._directory import Share
-from lacewing_daemon.direct._directory import Team
 from lacewing_daemon.direct._router import DirectRouter
+from lacewing_daemon.direct._routing_config import Engine
+from lacewing_daemon.direct._routing_config import KvStore
+from lacewing_daemon.direct._routing_config import Limits
+from lacewing_daemon.direct._routing_config import Route
+from lacewing_daemon.direct._routing_config import RoutingConfig
+from lacewing_daemon.direct._routing_config import Service
+from lacewing_daemon.direct._routing_config import Share
+from lacewing_daemon.direct._routing_config import Team
 from lacewing_daemon.direct._settings import DirectSettings
 from lacewing_daemon.direct._settings import read_direct_settings
 from lacewing_daemon.direct._site import Changes
 from lacewing_daemon.direct._site import Collection
 from lacewing_daemon.direct._site import Dispatch
-from lacewing_daemon.direct._site import HistoryGone
+from lacewing_daemon.direct._site import HistoryExpired
 from lacewing_daemon.direct._site import Listing
 from lacewing_daemon.direct._site import LoadOrder
 from lacewing_daemon.direct._site import OrderVerdict
@@ -29,7 +29,7 @@
 from lacewing_daemon.direct._site import UpstreamLoad
 from lacewing_daemon.direct._site import UpstreamReport
 from lacewing_daemon.direct._site import Wire
-from lacewing_daemon.direct._upstream import NamedWeights
+from lacewing_daemon.direct._upstream import ReleasedWeights
 from lacewing_daemon.direct._upstream import Upstream
 
 __all__ = [
@@ -38,15 +38,15 @@
     'Collection',
     'DirectRouter',
     'DirectSettings',
-    'Directory',
+    'RoutingConfig',
     'Dispatch',
     'Engine',
-    'HistoryGone',
+    'HistoryExpired',
     'KvStore',
     'Limits',
     'Listing',
     'LoadOrder',
-    'NamedWeights',
+    'ReleasedWeights',
     'OrderVerdict',
     'Prompt',
     'PromptPart',
--- a/packages/daemon/src/lacewing_daemon/direct/_admission.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_admission.py
@@ -8,10 +8,10 @@
 from lacewing_common.verdict import Refusal
 
 from lacewing_daemon.direct._call import CallerRequest
-from lacewing_daemon.direct._directory import Directory
-from lacewing_daemon.direct._directory import Route
-from lacewing_daemon.direct._directory import Service
-from lacewing_daemon.direct._directory import Team
+from lacewing_daemon.direct._routing_config import Route
+from lacewing_daemon.direct._routing_config import RoutingConfig
+from lacewing_daemon.direct._routing_config import Service
+from lacewing_daemon.direct._routing_config import Team
 
 # A router without a configuration has one within a few calls to the store.
 NOT_READY_RETRY_S = 0.1
@@ -36,7 +36,7 @@
 
 def admit(
     request: CallerRequest,
-    directory: Directory | None,
+    directory: RoutingConfig | None,
     keys_confirmed: bool,
     random: Random,
 ) -> Admitted | Refusal:
@@ -77,7 +77,7 @@
 
 
 def _draw_service(
-    route: Route, directory: Directory, random: Random
+    route: Route, directory: RoutingConfig, random: Random
 ) -> Service | None:
     names = []
     weights = []
--- a/packages/daemon/src/lacewing_daemon/direct/_attempt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_attempt.py
@@ -110,7 +110,7 @@
             end = self._judge(complete)
             if end.complete and end.head is not None and not end.head.closing:
                 pool.give_back(
-                    upstream, connection, end.head.keep_s, most_idle
+                    upstream, connection, end.head.keep_alive_s, most_idle
                 )
                 kept = True
             return end
@@ -224,7 +224,7 @@
                 broken=self._broken,
                 opened_s=self._opened_s,
             )
-        if not head.proven:
+        if not head.authenticated:
             return AttemptEnd(
                 Verdict.MAY_HAVE_RUN, Reason.WORKER_FAILED, head, body, True
             )
@@ -238,4 +238,4 @@
 
 
 def _is_good(head: ReplyHead) -> bool:
-    return head.status in _SUCCESS and head.proven
+    return head.status in _SUCCESS and head.authenticated
--- a/packages/daemon/src/lacewing_daemon/direct/_wall.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cache_salt.py
@@ -2,13 +2,13 @@
 
 from hashlib import blake2b
 
-from lacewing_daemon.direct._directory import Team
+from lacewing_daemon.direct._routing_config import Team
 
 _SHARED = ''
 _DIGEST_BYTES = 10
 
 
-def cache_wall(team: Team | None, model: str, weights: int) -> str:
+def compute_cache_salt(team: Team | None, model: str, weights: int) -> str:
     """Return the name under which a request's KV cache is kept.
 
     Cached parts are found only under the same name. It holds the version of
--- a/packages/daemon/src/lacewing_daemon/direct/_kept_parts.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cached_parts.py
@@ -2,9 +2,9 @@
 
 from lacewing_daemon.direct._call import Prompt
 from lacewing_daemon.direct._candidates import prompt_key
-from lacewing_daemon.direct._directory import Engine
-from lacewing_daemon.direct._directory import KvStore
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._cluster_state import ClusterState
+from lacewing_daemon.direct._routing_config import Engine
+from lacewing_daemon.direct._routing_config import KvStore
 from lacewing_daemon.direct._target import Target
 from lacewing_daemon.direct._upstream_state import UpstreamState
 from lacewing_daemon.rendezvous import best
@@ -12,37 +12,39 @@
 _MS = 1000.0
 
 
-class KeptParts:
+class CachedParts:
     """Judge by what this router has sent; nothing is asked."""
 
-    def __init__(self, knowledge: Knowledge) -> None:
+    def __init__(self, knowledge: ClusterState) -> None:
         self._knowledge = knowledge
 
-    def note_sent(
+    def record_sent(
         self, target: Target, prompt: Prompt, engine: Engine, now_s: float
     ) -> None:
         """Remember which parts an upstream holds from now on."""
-        if target.wall is not None:
-            target.state.remember(target.wall, prompt, engine, now_s)
+        if target.cache_salt is not None:
+            target.state.record_parts(target.cache_salt, prompt, engine, now_s)
 
-    def note_read(self, target: Target, prompt: Prompt, now_s: float) -> None:
+    def record_prefilled(
+        self, target: Target, prompt: Prompt, now_s: float
+    ) -> None:
         """Remember that the KV store gets the parts that were read.
 
         Not when they are sent: until they are read there is nothing to
         fetch, and prompts elsewhere would count on it.
         """
-        if target.wall is None or target.save_to is None:
+        if target.cache_salt is None or target.save_to is None:
             return
         for part in prompt.shared:
-            self._knowledge.note_saved(target.wall, part.part_id, now_s)
+            self._knowledge.mark_saved(target.cache_salt, part.part_id, now_s)
 
-    def store_for(self, prompt: Prompt) -> KvStore | None:
+    def kv_store_for(self, prompt: Prompt) -> KvStore | None:
         """Return the store for a prompt, the same at all routers.
 
         Several stores share the prompts out by their longest shared part;
         with all in one, its link and its memory would bound them all.
         """
-        directory = self._knowledge.directory
+        directory = self._knowledge.routing_config
         stores = () if directory is None else directory.kv_stores
         if not stores or not prompt.shared:
             return None
@@ -55,7 +57,7 @@
                 return store
         return None
 
-    def read_ms(
+    def prefill_ms(
         self,
         state: UpstreamState,
         wall: str,
@@ -87,7 +89,7 @@
         if kv_store is None:
             return None
         for part in prompt.shared:
-            if not self._knowledge.saved(wall, part.part_id, now_s):
+            if not self._knowledge.is_saved(wall, part.part_id, now_s):
                 return kv_store.address
         return None
 
@@ -98,7 +100,7 @@
         held = prompt.tokens - missing
         stored = 0
         for part in prompt.shared:
-            if not self._knowledge.saved(wall, part.part_id, now_s):
+            if not self._knowledge.is_saved(wall, part.part_id, now_s):
                 break
             stored += part.tokens
         return max(0, stored - held)
--- a/packages/daemon/src/lacewing_daemon/direct/_front.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
@@ -38,7 +38,7 @@
 _log = get_log(Part.CALLERS)
 
 
-class Front(HTTPServerConnectionDelegate):
+class CallerServer(HTTPServerConnectionDelegate):
     """Serve callers; one task for each request."""
 
     def __init__(self, wire: Wire, serve: Serve) -> None:
@@ -78,11 +78,11 @@
         self._address = f'{bound[0]}:{bound[1]}'
         self._server.add_sockets(sockets)
 
-    def allow_idle(self, idle_s: float) -> None:
+    def set_idle_timeout(self, idle_s: float) -> None:
         """Keep connections open for so long between requests."""
         self._server.conn_params.header_timeout = idle_s + IDLE_MARGIN_S
 
-    def announce_stop(self) -> None:
+    def begin_drain(self) -> None:
         """Close each connection with its next answer.
 
         Callers keep connections open for many requests; without the notice
@@ -188,7 +188,7 @@
 
     def __init__(
         self,
-        front: Front,
+        front: CallerServer,
         server_conn: object,
         connection: HTTP1Connection,
     ) -> None:
@@ -239,7 +239,7 @@
         """Forget the connection."""
         super().on_close(server_conn)
         front = self.request_callback
-        assert isinstance(front, Front)
+        assert isinstance(front, CallerServer)
         front.on_close(server_conn)
 
 
--- a/packages/daemon/src/lacewing_daemon/direct/_candidates.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_candidates.py
@@ -16,7 +16,7 @@
     return blake2b(text.encode(), digest_size=_KEY_BYTES).digest()
 
 
-def in_order(
+def by_preference(
     prompt: Prompt, states: list[UpstreamState]
 ) -> list[UpstreamState]:
     """Order engines for a prompt alike at all routers.
@@ -35,7 +35,9 @@
     return sorted(states, key=lambda one: rank[one.upstream.upstream_id])
 
 
-def heard(states: list[UpstreamState], now_s: float) -> list[UpstreamState]:
+def responsive_upstreams(
+    states: list[UpstreamState], now_s: float
+) -> list[UpstreamState]:
     """Leave out upstreams that have fallen silent, unless all have."""
-    answering = [state for state in states if not state.silent(now_s)]
+    answering = [state for state in states if not state.is_silent(now_s)]
     return answering or states
--- a/packages/daemon/src/lacewing_daemon/direct/_change_age.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_change_age.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 # By how much a look or an answer may be late on a busy VM.
-LATE_S = 0.5
+LATENESS_TOLERANCE_S = 0.5
 
 
 class ChangeAge:
@@ -20,30 +20,32 @@
         self._noted_s = float('-inf')
 
     @property
-    def unsure_s(self) -> float:
+    def max_age_s(self) -> float:
         """Return how long ago a change told now may have been made."""
         if self._unheard_from_s is None:
             return 0.0
         return self._clock() - self._unheard_from_s
 
-    def unheard_since(self, at_s: float) -> None:
+    def mark_unobserved_since(self, at_s: float) -> None:
         """Note from when on changes may have gone unheard."""
         self._noted_s = self._clock()
         if self._unheard_from_s is None:
             self._unheard_from_s = at_s
 
-    def judge(self, sent_s: float, wait_s: float, is_list: bool) -> None:
+    def note_response(
+        self, sent_s: float, wait_s: float, is_list: bool
+    ) -> None:
         """Note whether an answer was long on its way, or was waited for."""
         took_s = self._clock() - sent_s
-        if took_s > wait_s + LATE_S:
-            self.unheard_since(sent_s)
+        if took_s > wait_s + LATENESS_TOLERANCE_S:
+            self.mark_unobserved_since(sent_s)
             return
-        if is_list or took_s <= LATE_S:
+        if is_list or took_s <= LATENESS_TOLERANCE_S:
             return
         # There was nothing to tell when it was asked for.
-        self.end(sent_s)
+        self.mark_observed(sent_s)
 
-    def end(self, sent_s: float) -> None:
+    def mark_observed(self, sent_s: float) -> None:
         """Note that an answer to a call sent then was taken.
 
         An answer that was long on its way, or was read after a standstill,
--- a/packages/daemon/src/lacewing_daemon/direct/_choice.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_choice.py
@@ -38,17 +38,17 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """Place a request; ``first_ms`` until its first event is expected."""
+    """Place a request; its first event is expected in ``first_event_ms``."""
 
     upstream_id: str
-    first_ms: float
+    first_event_ms: float
 
 
 @dataclass(frozen=True)
-class NoRoom:
-    """Refuse a request; room is expected after ``room_ms``."""
+class NoCapacity:
+    """Refuse a request; room is expected after ``retry_after_ms``."""
 
-    room_ms: float
+    retry_after_ms: float
 
 
 def place(
@@ -56,7 +56,7 @@
     left_ms: float,
     policy: LoadPolicy,
     answer_tokens: int = 0,
-) -> Placement | NoRoom:
+) -> Placement | NoCapacity:
     """Place a prompt whose first event is wanted within ``left_ms``.
 
     Load pattern: more prompts than the engines can read in time. An engine
@@ -69,7 +69,7 @@
     has loaded new weights is lost.
     """
     if not engines:
-        return NoRoom(NOBODY_MS)
+        return NoCapacity(NOBODY_MS)
     best: Placement | None = None
     best_cost_ms = 0.0
     soonest_ms = float('inf')
@@ -91,7 +91,7 @@
             best_cost_ms = cost_ms
     if best is not None:
         return best
-    return NoRoom(max(policy.step_ms, soonest_ms - left_ms))
+    return NoCapacity(max(policy.step_ms, soonest_ms - left_ms))
 
 
 def _first_ms(engine: EngineView, policy: LoadPolicy) -> float:
@@ -145,7 +145,7 @@
 
 def place_plain(
     upstreams: Sequence[PlainView],
-) -> Placement | NoRoom:
+) -> Placement | NoCapacity:
     """Place a request of a plain service on the least busy upstream.
 
     Load pattern: short requests on few slots. The least busy by its own
@@ -170,7 +170,7 @@
             best = upstream
             best_rank = rank
     if best is None:
-        return NoRoom(_PLAIN_TURN_MS)
+        return NoCapacity(_PLAIN_TURN_MS)
     return Placement(best.upstream_id, 0.0)
 
 
--- a/packages/daemon/src/lacewing_daemon/direct/_knowledge.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cluster_state.py
@@ -12,34 +12,34 @@
 
 from lacewing_daemon.direct._budget import RetryBudget
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._directory import Directory
-from lacewing_daemon.direct._directory import Service
-from lacewing_daemon.direct._estimates import estimated
+from lacewing_daemon.direct._estimates import apply_estimates
 from lacewing_daemon.direct._estimates import Estimates
 from lacewing_daemon.direct._estimates import RENEW_S
 from lacewing_daemon.direct._line_budget import LineBudget
-from lacewing_daemon.direct._loading import load_times
-from lacewing_daemon.direct._loading import nearly_overdue_s
+from lacewing_daemon.direct._loading import load_schedule
+from lacewing_daemon.direct._loading import nearly_overdue_after_s
 from lacewing_daemon.direct._metrics import ENGINE_ESTIMATE
-from lacewing_daemon.direct._namings import NamedVersion
-from lacewing_daemon.direct._namings import Naming
-from lacewing_daemon.direct._namings import superseded_s
-from lacewing_daemon.direct._namings import with_naming
-from lacewing_daemon.direct._pace import Pace
 from lacewing_daemon.direct._policy import LoadPolicy
-from lacewing_daemon.direct._router_count import ROUTERS_ASSUMED
+from lacewing_daemon.direct._router_count import DEFAULT_ROUTER_COUNT
+from lacewing_daemon.direct._routing_config import RoutingConfig
+from lacewing_daemon.direct._routing_config import Service
 from lacewing_daemon.direct._settings import Bounds
+from lacewing_daemon.direct._silence_history import SilenceHistory
 from lacewing_daemon.direct._site import UpstreamReport
-from lacewing_daemon.direct._upstream import NamedWeights
+from lacewing_daemon.direct._upstream import ReleasedWeights
 from lacewing_daemon.direct._upstream import Upstream
 from lacewing_daemon.direct._upstream_state import UpstreamState
+from lacewing_daemon.direct._weights_releases import add_release
+from lacewing_daemon.direct._weights_releases import ReleaseAge
+from lacewing_daemon.direct._weights_releases import superseded_for_s
+from lacewing_daemon.direct._weights_releases import WeightsRelease
 
 # What the store of kept KV cache evicts is not told; parts saved longer ago
 # are saved again.
 SAVED_S = 20.0
 SAVED_PARTS = 4096
 # The part of the time for new weights after which none begins on older ones.
-OLD_WEIGHTS_PART = 0.75
+OLD_WEIGHTS_FRACTION = 0.75
 # A router that hears of the store again still sends to engines with older
 # weights for so long; they may be the only ones.
 GAP_GRACE_S = 2.5
@@ -59,7 +59,7 @@
 _platform_log = get_log(Part.PLATFORM)
 
 
-class Learnt(Enum):
+class ReleaseSource(Enum):
     """Tell how a router learnt that weights are named."""
 
     STORE = 'store'
@@ -82,7 +82,7 @@
     at_s: float
 
 
-class Knowledge:
+class ClusterState:
     """Hold configuration, upstreams, named weights and kept parts.
 
     ``clock`` counts seconds, those of a suspended VM included.
@@ -97,16 +97,16 @@
         self._bounds = bounds
         self._policy = policy
         self._clock = clock
-        self._routers = ROUTERS_ASSUMED
-        self._directory: Directory | None = None
+        self._routers = DEFAULT_ROUTER_COUNT
+        self._directory: RoutingConfig | None = None
         self._states: dict[str, UpstreamState] = {}
         self._gone: OrderedDict[str, UpstreamState] = OrderedDict()
         self._by_service: dict[str, list[UpstreamState]] = {}
-        self._paces: dict[str, Pace] = {}
+        self._paces: dict[str, SilenceHistory] = {}
         self._estimates: dict[str, Estimates] = {}
         self._policies: dict[str, _PolicySeen] = {}
         self._budgets: dict[str, RetryBudget] = {}
-        self._namings: dict[str, tuple[Naming, ...]] = {}
+        self._namings: dict[str, tuple[WeightsRelease, ...]] = {}
         self._told_s: dict[str, float] = {}
         self._load_times: dict[str, _LoadTimes] = {}
         self._saved: OrderedDict[tuple[str, str], float] = OrderedDict()
@@ -114,7 +114,7 @@
         self._started_s: float | None = None
 
     @property
-    def directory(self) -> Directory | None:
+    def routing_config(self) -> RoutingConfig | None:
         """Return the configuration in force, None before the first."""
         return self._directory
 
@@ -124,12 +124,12 @@
         return self._bounds
 
     @property
-    def old_limit_s(self) -> float:
+    def old_weights_limit_s(self) -> float:
         """Return for how long after a naming older weights are used."""
-        return self._bounds.weights_s * OLD_WEIGHTS_PART
+        return self._bounds.weights_s * OLD_WEIGHTS_FRACTION
 
     @property
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """Return the number of routers that live, this one included."""
         return self._routers
 
@@ -148,7 +148,7 @@
         known = self._policies.get(service)
         if known is not None and now_s - known.at_s < RENEW_S:
             return known.policy
-        policy = estimated(self._policy, self.estimates(service), now_s)
+        policy = apply_estimates(self._policy, self.estimates(service), now_s)
         self._policies[service] = _PolicySeen(policy, now_s)
         for figure in _ESTIMATED:
             gauge = ENGINE_ESTIMATE.labels(service, figure)
@@ -165,22 +165,22 @@
         return self._states
 
     @property
-    def named(self) -> tuple[NamedWeights, ...]:
+    def released_weights(self) -> tuple[ReleasedWeights, ...]:
         """Return the version named last of each model."""
         found = []
         for model, namings in self._namings.items():
-            found.append(NamedWeights(model, namings[-1].version))
+            found.append(ReleasedWeights(model, namings[-1].version))
         return tuple(found)
 
-    def states(self, service: str) -> list[UpstreamState]:
+    def upstreams_of(self, service: str) -> list[UpstreamState]:
         """Return the upstreams of a service."""
         return self._by_service.get(service, [])
 
-    def state(self, upstream_id: str) -> UpstreamState | None:
+    def upstream(self, upstream_id: str) -> UpstreamState | None:
         """Return what is known of one upstream."""
         return self._states.get(upstream_id)
 
-    def routed(self, upstream: Upstream) -> bool:
+    def is_routed(self, upstream: Upstream) -> bool:
         """Tell whether an upstream is of a service and stays in it.
 
         An entry may name a service that no configuration holds. Nothing is
@@ -200,7 +200,7 @@
             return ()
         return service.engine.models
 
-    def named_weights(self, model: str) -> NamedVersion:
+    def current_release(self, model: str) -> ReleaseAge:
         """Return the version named last for a model and how long ago.
 
         Counted from when this router was told, as all of them are at nearly
@@ -208,48 +208,48 @@
         """
         namings = self._namings.get(model)
         if not namings:
-            return NamedVersion(0, 0.0)
-        return NamedVersion(
+            return ReleaseAge(0, 0.0)
+        return ReleaseAge(
             namings[-1].version, self._clock() - self._told_s[model]
         )
 
-    def namings(self, model: str) -> tuple[NamedVersion, ...]:
+    def releases(self, model: str) -> tuple[ReleaseAge, ...]:
         """Return the namings of a model that matter, the newest last."""
         now_s = self._clock()
         found = []
         for naming in self._namings.get(model, ()):
-            age_s = now_s - naming.since_s
-            found.append(NamedVersion(naming.version, age_s))
+            age_s = now_s - naming.released_s
+            found.append(ReleaseAge(naming.version, age_s))
         return tuple(found)
 
-    def load_times(self, model: str) -> Mapping[str, float]:
+    def load_schedule(self, model: str) -> Mapping[str, float]:
         """Return when each engine of a model loads, after the naming."""
-        version = self.named_weights(model).version
+        version = self.current_release(model).version
         known = self._load_times.get(model)
         if known is not None and known.version == version:
             return known.times
         engines = {}
         for upstream_id, state in self._states.items():
             loaded = state.weights(model)
-            if loaded is not None and self.routed(state.upstream):
+            if loaded is not None and self.is_routed(state.upstream):
                 engines[upstream_id] = loaded
         # Computed once for a version: what loads meanwhile must not change
         # the order of the rest.
-        times = load_times(model, version, engines, self._policy)
+        times = load_schedule(model, version, engines, self._policy)
         self._load_times[model] = _LoadTimes(version, times)
         return times
 
-    def near_in_s(self, model: str, version: int) -> float:
+    def nearly_overdue_in_s(self, model: str, version: int) -> float:
         """Return the time until weights are nearly overdue.
 
         Negative once they are, infinite for the newest.
         """
-        lacks_s = superseded_s(self.namings(model), version)
+        lacks_s = superseded_for_s(self.releases(model), version)
         if lacks_s <= 0:
             return float('inf')
-        return nearly_overdue_s(self.old_limit_s) - lacks_s
+        return nearly_overdue_after_s(self.old_weights_limit_s) - lacks_s
 
-    def budget(self, service: Service) -> RetryBudget:
+    def retry_budget(self, service: Service) -> RetryBudget:
         """Return the retry budget of a service."""
         budget = self._budgets.get(service.name)
         if budget is None:
@@ -261,12 +261,12 @@
             self._budgets[service.name] = budget
         return budget
 
-    def saved(self, wall: str, part_id: str, now_s: float) -> bool:
+    def is_saved(self, wall: str, part_id: str, now_s: float) -> bool:
         """Tell whether the store of KV cache was sent a part lately."""
         saved_s = self._saved.get((wall, part_id))
         return saved_s is not None and now_s - saved_s < SAVED_S
 
-    def note_saved(self, wall: str, part_id: str, now_s: float) -> None:
+    def mark_saved(self, wall: str, part_id: str, now_s: float) -> None:
         """Note that a part was sent to the store of KV cache."""
         key = (wall, part_id)
         self._saved[key] = now_s
@@ -274,20 +274,20 @@
         if len(self._saved) > SAVED_PARTS:
             self._saved.popitem(last=False)
 
-    def take_bounds(self, bounds: Bounds) -> None:
+    def set_bounds(self, bounds: Bounds) -> None:
         """Use other bounds from now on."""
         self._bounds = bounds
         self._budgets.clear()
 
-    def take_start(self, at_s: float) -> None:
+    def set_process_start(self, at_s: float) -> None:
         """Take when the process was started, on the clock given."""
         self._started_s = at_s
 
-    def take_routers(self, count: int) -> None:
+    def set_router_count(self, count: int) -> None:
         """Take how many routers live."""
         self._routers = count
 
-    def take_directory(self, value: Directory) -> bool:
+    def update_routing_config(self, value: RoutingConfig) -> bool:
         """Take a configuration; false if it is not newer."""
         current = self._directory
         if current is not None and value.version <= current.version:
@@ -295,7 +295,7 @@
         self._directory = value
         return True
 
-    def take_upstream(self, name: str, value: Upstream | None) -> None:
+    def update_upstream(self, name: str, value: Upstream | None) -> None:
         """Take an upstream's entry; None once it is gone.
 
         A later start under the same id is another upstream of which nothing
@@ -312,9 +312,9 @@
             if value.started_ms < known_ms:
                 value = None
             elif value.started_ms > known_ms:
-                before.end()
+                before.mark_replaced()
                 self._started_again(value)
-        if state is not None and value is not None and not state.ended:
+        if state is not None and value is not None and not state.replaced:
             self._update(state, value)
             return
         if state is not None:
@@ -322,26 +322,26 @@
         if value is None:
             return
         self._gone.pop(name, None)
-        if before is None or before.ended:
-            pace = self._paces.setdefault(value.service, Pace())
+        if before is None or before.replaced:
+            pace = self._paces.setdefault(value.service, SilenceHistory())
             self._add(UpstreamState(value, pace))
             return
         before.update(value)
         self._add(before)
 
-    def take_report(
+    def apply_report(
         self, state: UpstreamState, report: UpstreamReport
     ) -> bool:
         """Take an upstream's report; false if it is of another start."""
         upstream = state.upstream
-        if state.ended:
+        if state.replaced:
             return False
         if report.started_ms and upstream.started_ms:
             if report.started_ms < upstream.started_ms:
                 return False
             if report.started_ms > upstream.started_ms:
                 if self._states.get(upstream.upstream_id) is state:
-                    self.take_upstream(
+                    self.update_upstream(
                         upstream.upstream_id,
                         replace(
                             upstream,
@@ -369,8 +369,8 @@
         """
         self._learn_load(state, model, version)
         state.learn_weights(model, version)
-        named = NamedWeights(model, version)
-        self.take_weights(named, unsure_s, Learnt.UPSTREAM)
+        named = ReleasedWeights(model, version)
+        self.record_release(named, unsure_s, ReleaseSource.UPSTREAM)
 
     def _learn_load(
         self, state: UpstreamState, model: str, version: int
@@ -380,7 +380,7 @@
         if had is None or had >= version:
             return
         plan = self._load_times.get(model)
-        named = self.named_weights(model)
+        named = self.current_release(model)
         if plan is None or not plan.version == version == named.version:
             return
         turn_s = plan.times.get(state.upstream.upstream_id)
@@ -390,11 +390,11 @@
             (named.age_s - turn_s) * _MS, self._clock()
         )
 
-    def take_weights(
+    def record_release(
         self,
-        value: NamedWeights,
+        value: ReleasedWeights,
         unsure_s: float = 0.0,
-        learnt: Learnt = Learnt.STORE,
+        learnt: ReleaseSource = ReleaseSource.STORE,
     ) -> None:
         """Take a version that was named at some time since ``unsure_s`` ago.
 
@@ -410,18 +410,20 @@
         # refused older weights for long; this one joins them soon.
         first = unsure_s == float('inf')
         grace_s = self._start_grace_s(now_s) if first else GAP_GRACE_S
-        most_s = max(0.0, self.old_limit_s - grace_s)
+        most_s = max(0.0, self.old_weights_limit_s - grace_s)
         since_s = now_s - min(unsure_s, most_s)
         if namings:
-            since_s = max(since_s, namings[-1].since_s)
-        self._namings[value.model] = with_naming(
-            namings, Naming(value.version, since_s), self.old_limit_s
+            since_s = max(since_s, namings[-1].released_s)
+        self._namings[value.model] = add_release(
+            namings,
+            WeightsRelease(value.version, since_s),
+            self.old_weights_limit_s,
         )
         # Loads are not brought forward for a doubt; at a start others may
         # have had theirs.
         self._told_s[value.model] = since_s if first else now_s
         # A line that is left out shows in the next one, by `before`.
-        if self._lines.take(True, now_s):
+        if self._lines.allow(True, now_s):
             _log.info(
                 'Weights are named.',
                 model=value.model,
@@ -474,7 +476,7 @@
             started_ms=upstream.started_ms,
         )
         for model, known in self._load_times.items():
-            named = self.named_weights(model)
+            named = self.current_release(model)
             if name not in known.times or known.version != named.version:
                 continue
             times = dict(known.times)
--- a/packages/daemon/src/lacewing_daemon/direct/_followed.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_collection_watcher.py
@@ -17,21 +17,21 @@
 from lacewing_common.store import StoreFault
 
 from lacewing_daemon.direct._change_age import ChangeAge
-from lacewing_daemon.direct._change_age import LATE_S
+from lacewing_daemon.direct._change_age import LATENESS_TOLERANCE_S
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._copied_entries import CopiedEntries
-from lacewing_daemon.direct._copied_entries import IsOlder
-from lacewing_daemon.direct._eras import StoreEras
-from lacewing_daemon.direct._held_entries import HeldEntries
-from lacewing_daemon.direct._held_entries import OnChange
+from lacewing_daemon.direct._entry_cache import EntryCache
+from lacewing_daemon.direct._entry_cache import OnChange
+from lacewing_daemon.direct._observed_revisions import ObservedRevisions
+from lacewing_daemon.direct._observed_revisions import WATCH_GAP_S
+from lacewing_daemon.direct._restored_entries import IsOlder
+from lacewing_daemon.direct._restored_entries import RestoredEntries
 from lacewing_daemon.direct._site import Changes
 from lacewing_daemon.direct._site import Collection
-from lacewing_daemon.direct._site import HistoryGone
+from lacewing_daemon.direct._site import HistoryExpired
 from lacewing_daemon.direct._site import Listing
 from lacewing_daemon.direct._store_calls import CallReason
-from lacewing_daemon.direct._store_calls import StoreCalls
-from lacewing_daemon.direct._told_revisions import DEAF_S
-from lacewing_daemon.direct._told_revisions import ToldRevisions
+from lacewing_daemon.direct._store_calls import StoreCallCounter
+from lacewing_daemon.direct._store_eras import StoreEras
 
 T = TypeVar('T')
 
@@ -39,7 +39,7 @@
 BACKOFF_CAP_S = 0.6
 # The part of the time for which entries are believed within which they are
 # confirmed anew; the rest is left to the way of calls to a slow store.
-CONFIRM_PART = 0.8
+CONFIRM_FRACTION = 0.8
 # A call waits no shorter than this for the sake of a large answer that may
 # follow, as each call has its price; at most three a second.
 LEAST_WAIT_S = 0.3
@@ -60,23 +60,24 @@
 
 
 @dataclass(frozen=True)
-class LastRead:
+class ResponseStats:
     """Hold how many bytes an answer had and in which time they came."""
 
     size: int
     took_s: float
 
 
-class Followed(Generic[T]):
+class CollectionWatcher(Generic[T]):
     """Keep the entries of one collection up to date by a task.
 
     After a failed call, changes since a known revision are asked for, and
     not the whole collection: on a narrow link reading it anew takes seconds,
     fills the link and may fail again.
 
-    ``guide`` is another collection of the same store. While both are lost,
-    it alone looks for the store. Each trying by itself, three collections
-    made 38 calls in 4 s to a store that turns them away; with a guide, 17.
+    ``reconnect_leader`` is another collection of the same store. While both
+    are lost, it alone looks for the store. Each trying by itself, three
+    collections made 38 calls in 4 s to a store that turns them away; with a
+    guide, 17.
     """
 
     def __init__(
@@ -85,49 +86,49 @@
         collection: Collection[T],
         wait_s: float,
         random: Random,
-        keep_lapsed: bool = False,
-        gather_s: float = 0.0,
-        deaf_s: float = DEAF_S,
+        retain_lapsed: bool = False,
+        batch_delay_s: float = 0.0,
+        watch_gap_s: float = WATCH_GAP_S,
         strict: bool = False,
         drop_unreadable: bool = False,
-        doubted_s: float = float('inf'),
+        max_unconfirmed_s: float = float('inf'),
         clock: Callable[[], float] = boot_s,
-        calls: StoreCalls | None = None,
-        guide: 'Followed[Any] | None' = None,
+        calls: StoreCallCounter | None = None,
+        reconnect_leader: 'CollectionWatcher[Any] | None' = None,
         eras: StoreEras | None = None,
         is_older: IsOlder[T] | None = None,
-        doubt_s: float = float('inf'),
+        restored_timeout_s: float = float('inf'),
     ) -> None:
-        self._guide = guide
+        self._guide = reconnect_leader
         self._found = asyncio.Event()
-        self._calls = calls or StoreCalls()
+        self._calls = calls or StoreCallCounter()
         self._eras = eras or StoreEras()
-        self._doubted_s = doubted_s
+        self._doubted_s = max_unconfirmed_s
         self._clock = clock
-        self._deaf_s = deaf_s
+        self._deaf_s = watch_gap_s
         self._strict = strict
         self._name = name
         self._collection = collection
         self._wait_s = wait_s
         self._backoff = Backoff(BACKOFF_BASE_S, BACKOFF_CAP_S, random)
-        self._gather_s = gather_s
-        self._held: HeldEntries[T] = HeldEntries(
+        self._gather_s = batch_delay_s
+        self._held: EntryCache[T] = EntryCache(
             name,
-            CopiedEntries(is_older or _never_older, doubt_s),
+            RestoredEntries(is_older or _never_older, restored_timeout_s),
             clock,
-            keep_lapsed,
+            retain_lapsed,
             drop_unreadable,
         )
         self._revision: int | None = None
         self._era: int | None = None
-        self._told = ToldRevisions()
+        self._told = ObservedRevisions()
         self._last_revision = 0
         self._confirmed_s: float | None = None
         self._confirms_from_s = float('-inf')
         self._age = ChangeAge(clock)
         self._lost = False
         self._rewound = False
-        self._read = LastRead(0, 0.0)
+        self._read = ResponseStats(0, 0.0)
         self._last_took_s = 0.0
         self._last_changed = False
 
@@ -137,7 +138,7 @@
         return self._held.entries
 
     @property
-    def read_once(self) -> bool:
+    def has_loaded(self) -> bool:
         """Tell whether the collection has been read since the start."""
         return self._confirmed_s is not None
 
@@ -147,7 +148,7 @@
         return self._last_revision
 
     @property
-    def lost(self) -> bool:
+    def disconnected(self) -> bool:
         """Tell whether the last call failed."""
         return self._lost
 
@@ -162,14 +163,14 @@
         return self._clock() - self._confirmed_s
 
     @property
-    def last_read(self) -> LastRead:
+    def last_response(self) -> ResponseStats:
         """Return what the last answer was, already as changes are told."""
         return self._read
 
     @property
-    def unsure_s(self) -> float:
+    def max_change_age_s(self) -> float:
         """Return how long ago a change that is told now may have been made."""
-        return self._age.unsure_s
+        return self._age.max_age_s
 
     def on_change(self, callback: OnChange[T]) -> None:
         """Call back with the name and value (None: removed) of a change."""
@@ -182,10 +183,10 @@
 
     async def step(self) -> float:
         """Make one call; return the time until the next one, in seconds."""
-        self._held.believe_copied()
+        self._held.accept_expired()
         if self._era_passed:
             self._revision = None
-        self._calls.note(self._name, self._reason())
+        self._calls.count(self._name, self._reason())
         wait_s = self._next_wait_s()
         sent_s = self._clock()
         answer = await self._watched(wait_s)
@@ -194,7 +195,7 @@
         )
         if answer is None:
             return 0.0
-        self._eras.take(answer.era)
+        self._eras.observe(answer.era)
         if isinstance(answer, StoreError):
             self._failed(answer, sent_s)
             return self._backoff.next_s()
@@ -202,20 +203,20 @@
             self._revision = None
             return self._backoff.next_s()
         self._backoff.reset()
-        if isinstance(answer, HistoryGone):
+        if isinstance(answer, HistoryExpired):
             _log.info(
                 'Reads a collection anew.',
                 collection=self._name,
                 reason=answer.message,
             )
-            self._age.unheard_since(self._clock() - self._deaf_s)
+            self._age.mark_unobserved_since(self._clock() - self._deaf_s)
             self._revision = None
             return 0.0
         self._regained()
-        self._read = LastRead(answer.size, answer.took_s)
-        self._age.judge(sent_s, wait_s, isinstance(answer, Listing))
+        self._read = ResponseStats(answer.size, answer.took_s)
+        self._age.note_response(sent_s, wait_s, isinstance(answer, Listing))
         self._take(answer)
-        self._age.end(sent_s)
+        self._age.mark_observed(sent_s)
         self.confirm(answer, sent_s, wait_s)
         if isinstance(answer, Listing):
             self._last_took_s = answer.took_s
@@ -262,12 +263,12 @@
     async def _rest(self, pause_s: float) -> None:
         """Sleep, or until the guide has found the store again."""
         guide = self._guide
-        if not self._lost or guide is None or not guide.lost:
+        if not self._lost or guide is None or not guide.disconnected:
             await asyncio.sleep(pause_s)
             return
-        await guide.found_again(GUIDED_S + pause_s)
+        await guide.wait_reconnected(GUIDED_S + pause_s)
 
-    async def found_again(self, most_s: float) -> None:
+    async def wait_reconnected(self, most_s: float) -> None:
         """Wait until a call succeeds after one that failed."""
         try:
             async with asyncio.timeout(most_s):
@@ -298,12 +299,12 @@
         age_s = self.age_s
         room_s = self._doubted_s - age_s - self._gather_s
         room_s -= 2 * self._last_took_s
-        fresh_s = self._doubted_s * CONFIRM_PART - age_s
+        fresh_s = self._doubted_s * CONFIRM_FRACTION - age_s
         return max(0.0, min(self._wait_s, max(room_s, LEAST_WAIT_S), fresh_s))
 
     @property
     def _unconfirmable(self) -> bool:
-        return self._held.any_unreadable or self._held.any_doubtful
+        return self._held.any_unreadable or self._held.any_unverified
 
     @property
     def _era_passed(self) -> bool:
@@ -313,7 +314,7 @@
         return self._eras.current not in (0, self._era)
 
     def _of_other_era(
-        self, answer: Listing[T] | Changes[T] | HistoryGone
+        self, answer: Listing[T] | Changes[T] | HistoryExpired
     ) -> bool:
         """Tell whether an answer can't be joined to what is known.
 
@@ -337,7 +338,7 @@
 
     async def _watched(
         self, wait_s: float
-    ) -> Listing[T] | Changes[T] | HistoryGone | StoreError | None:
+    ) -> Listing[T] | Changes[T] | HistoryExpired | StoreError | None:
         """Make the next call; note if the process stood still meanwhile.
 
         After a pause an answer that has waited is read as if it had just
@@ -350,8 +351,8 @@
             while not call.done():
                 looked_s = self._clock()
                 await asyncio.wait((call,), timeout=BEAT_S)
-                if self._clock() - looked_s > BEAT_S + LATE_S:
-                    self._age.unheard_since(looked_s)
+                if self._clock() - looked_s > BEAT_S + LATENESS_TOLERANCE_S:
+                    self._age.mark_unobserved_since(looked_s)
                 if self._revision is not None and self._era_passed:
                     return call.result() if call.done() else None
         finally:
@@ -360,7 +361,7 @@
 
     async def _next(
         self, wait_s: float
-    ) -> Listing[T] | Changes[T] | HistoryGone | StoreError:
+    ) -> Listing[T] | Changes[T] | HistoryExpired | StoreError:
         if self._revision is None:
             return await self._collection.read()
         return await self._collection.changes(self._revision, wait_s)
@@ -369,24 +370,24 @@
         self._revision = answer.revision
         self._last_revision = answer.revision
         if isinstance(answer, Changes):
-            self._told.tell(answer.revision, self._clock())
-            self._held.take_changes(self._new(answer), answer.unreadable)
+            self._told.observe(answer.revision, self._clock())
+            self._held.apply_changes(self._new(answer), answer.unreadable)
             self._rewound = False
             return
-        self._told.read(answer.revision, self._clock())
+        self._told.reset(answer.revision, self._clock())
         era = answer.era or self._eras.current
         from_copy = self._era is not None and era != self._era
         if from_copy:
             self._begin_era()
         self._era = era
-        self._held.take_list(answer.entries, answer.unreadable, from_copy)
+        self._held.apply_snapshot(answer.entries, answer.unreadable, from_copy)
         self._rewound = False
 
     def _begin_era(self) -> None:
         """Doubt what the store tells until what it lost is written again."""
-        self._held.note_back()
+        self._held.note_reconnected()
         if self._confirmed_s is not None:
-            self._age.unheard_since(self._confirmed_s)
+            self._age.mark_unobserved_since(self._confirmed_s)
         if self._strict:
             self._confirms_from_s = self._clock() + REWRITTEN_S
 
@@ -408,11 +409,11 @@
         again = self._lost and error.received > 0
         self._revision = None
         if error.fault in _PASSING and not again:
-            self._told.doubt(sent_s)
-            self._revision = self._told.sure()
+            self._told.discard_unreliable(sent_s)
+            self._revision = self._told.last_reliable()
             self._rewound = True
         if self._confirmed_s is not None:
-            self._age.unheard_since(self._confirmed_s)
+            self._age.mark_unobserved_since(self._confirmed_s)
         if self._lost:
             return
         self._lost = True
@@ -431,7 +432,7 @@
             return
         self._lost = False
         self._found.set()
-        self._held.note_back()
+        self._held.note_reconnected()
         _log.info(
             'Follows a collection again.',
             collection=self._name,
--- a/packages/daemon/src/lacewing_daemon/direct/_copies.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_copies.py
@@ -7,7 +7,9 @@
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
 
-def room_for_copy(kv_tokens: float, routers: int, prompt_tokens: int) -> float:
+def copy_token_limit(
+    kv_tokens: float, routers: int, prompt_tokens: int
+) -> float:
     """Return how much an engine may hold of a router's copies already.
 
     ``kv_tokens`` is the memory for copies of all routers. Copies take memory
@@ -18,7 +20,7 @@
     return kv_tokens / routers - prompt_tokens
 
 
-def copy_holder(
+def choose_copy_upstream(
     target: Target,
     others: Sequence[Target],
     views: Sequence[EngineView],
--- a/packages/daemon/src/lacewing_daemon/direct/_held_entries.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_entry_cache.py
@@ -10,8 +10,8 @@
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
 
-from lacewing_daemon.direct._copied_entries import CopiedEntries
 from lacewing_daemon.direct._metrics import ENTRIES_LEFT_OUT
+from lacewing_daemon.direct._restored_entries import RestoredEntries
 
 T = TypeVar('T')
 OnChange = Callable[[str, T | None], None]
@@ -23,12 +23,12 @@
 _log = get_log(Part.PLATFORM)
 
 
-class HeldEntries(Generic[T]):
+class EntryCache(Generic[T]):
     """Hold entries by name, and tell of each change.
 
     When the store is away, upstreams can't renew their entries either, and
     these lapse although the upstreams serve. Believing the first list after
-    an outage would leave a router without upstreams; so with ``keep_lapsed``
+    an outage would leave a router without upstreams; so with ``retain_lapsed``
     an entry that is gone then is kept until all that live are back. Counted
     from the store's return and not from the removal: an upstream that leaves
     a while after an outage must not be kept any longer than in calm times.
@@ -40,15 +40,15 @@
     def __init__(
         self,
         collection: str,
-        copied: CopiedEntries[T],
+        restored_entries: RestoredEntries[T],
         clock: Callable[[], float],
-        keep_lapsed: bool,
+        retain_lapsed: bool,
         drop_unreadable: bool,
     ) -> None:
         self._collection = collection
-        self._copied = copied
+        self._copied = restored_entries
         self._clock = clock
-        self._keep_lapsed = keep_lapsed
+        self._keep_lapsed = retain_lapsed
         self._drop_unreadable = drop_unreadable
         self._entries: dict[str, T] = {}
         self._lapsed: dict[str, asyncio.TimerHandle] = {}
@@ -67,19 +67,19 @@
         return bool(self._unreadable)
 
     @property
-    def any_doubtful(self) -> bool:
+    def any_unverified(self) -> bool:
         """Tell whether an entry came back older than it is known."""
-        return self._copied.any_doubtful
+        return self._copied.any_unverified
 
     def on_change(self, callback: OnChange[T]) -> None:
         """Call back with the name and value (None: removed) of a change."""
         self._callbacks.append(callback)
 
-    def note_back(self) -> None:
+    def note_reconnected(self) -> None:
         """Note that the store is back after it was away."""
         self._back_s = self._clock()
 
-    def take_changes(
+    def apply_changes(
         self,
         changed: Iterable[tuple[str, T | None]],
         unreadable: tuple[str, ...],
@@ -87,36 +87,36 @@
         """Take what changed, in its order."""
         for name, value in changed:
             self._unreadable.discard(name)
-            self._copied.settle(name)
+            self._copied.mark_verified(name)
             self._set(name, value)
         self._unreadable.update(unreadable)
         self._leave_out(unreadable)
 
-    def take_list(
+    def apply_snapshot(
         self,
         listed: Mapping[str, T],
         unreadable: tuple[str, ...],
-        from_copy: bool,
+        restored: bool,
     ) -> None:
-        """Take all entries; ``from_copy``: the first list of an era."""
+        """Take all entries; ``restored``: the first list of an era."""
         self._unreadable = set(unreadable)
-        if from_copy:
-            self._copied.begin(listed, self._entries, self._clock())
-        self._copied.settle_missing(listed)
+        if restored:
+            self._copied.start_era(listed, self._entries, self._clock())
+        self._copied.discard_missing(listed)
         for name in list(self._entries):
             if name in listed or name in unreadable:
                 continue
             self._set(name, None)
         for name, value in listed.items():
-            if self._copied.doubts(name, value):
+            if self._copied.is_unverified(name, value):
                 continue
-            self._copied.settle(name)
+            self._copied.mark_verified(name)
             self._set(name, value)
         self._leave_out(unreadable)
 
-    def believe_copied(self) -> None:
+    def accept_expired(self) -> None:
         """Take entries of a copy that have been doubted long enough."""
-        for name, value in self._copied.pop_believed(self._clock()).items():
+        for name, value in self._copied.pop_expired(self._clock()).items():
             self._set(name, value)
 
     def _leave_out(self, unreadable: tuple[str, ...]) -> None:
@@ -155,7 +155,7 @@
             timer.cancel()
         value = self._entries.pop(name, None)
         if value is not None:
-            self._copied.note_removed(name, value)
+            self._copied.record_removed(name, value)
         self._tell(name, None)
 
     def _tell(self, name: str, value: T | None) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/_estimates.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_estimates.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Read:
+class PrefillSample:
     """Hold how long a first event took, and for which prompt.
 
     ``own_tokens`` surely were read; of the ``shared_tokens`` before them the
@@ -47,7 +47,7 @@
     took_ms: float
 
 
-class ReadSpeed:
+class PrefillSpeed:
     """Estimate how many tokens of a prompt an engine reads in a ms.
 
     A first event also waits for other routers' prompts, for a step and for
@@ -59,9 +59,9 @@
     """
 
     def __init__(self) -> None:
-        self._reads: deque[Read] = deque(maxlen=MOST_KEPT)
+        self._reads: deque[PrefillSample] = deque(maxlen=MOST_KEPT)
 
-    def learn(self, read: Read) -> None:
+    def learn(self, read: PrefillSample) -> None:
         """Take a first event."""
         if read.own_tokens > 0 and read.took_ms > 0:
             self._reads.append(read)
@@ -80,7 +80,7 @@
         return _bounded(1.0 / slope, READ_TOKENS_PER_MS)
 
 
-class Recent:
+class RecentSamples:
     """Hold the newest values of a figure."""
 
     def __init__(self) -> None:
@@ -103,12 +103,12 @@
     """
 
     def __init__(self) -> None:
-        self._reads = ReadSpeed()
-        self._steps = Recent()
-        self._loads = Recent()
-        self._sent = Recent()
+        self._reads = PrefillSpeed()
+        self._steps = RecentSamples()
+        self._loads = RecentSamples()
+        self._sent = RecentSamples()
 
-    def learn_read(self, read: Read) -> None:
+    def learn_prefill(self, read: PrefillSample) -> None:
         """Take a first event before which no other prompt is known to wait."""
         self._reads.learn(read)
 
@@ -122,7 +122,7 @@
         if took_ms > 0:
             self._loads.learn(took_ms, now_s)
 
-    def learn_sent(self, read_ms: float, now_s: float) -> None:
+    def learn_expected_prefill(self, read_ms: float, now_s: float) -> None:
         """Take the reading that a request was expected to need."""
         self._sent.learn(read_ms, now_s)
 
@@ -156,7 +156,7 @@
         return _quantile(seen, 0.5)
 
 
-def estimated(
+def apply_estimates(
     policy: LoadPolicy, estimates: Estimates, now_s: float
 ) -> LoadPolicy:
     """Return a policy with what engines have shown in place of its own."""
@@ -173,7 +173,7 @@
     return replace(policy, **known)
 
 
-def _slopes(reads: Sequence[Read]) -> list[float]:
+def _slopes(reads: Sequence[PrefillSample]) -> list[float]:
     slopes = []
     for position, one in enumerate(reads):
         for other in reads[:position]:
--- a/packages/daemon/src/lacewing_daemon/direct/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_exchange.py
@@ -21,21 +21,21 @@
 from lacewing_daemon.direct._call import CallerRequest
 from lacewing_daemon.direct._caller_reply import CallerGoneError
 from lacewing_daemon.direct._caller_reply import CallerReply
-from lacewing_daemon.direct._choice import NoRoom
+from lacewing_daemon.direct._choice import NoCapacity
 from lacewing_daemon.direct._fleet import Fleet
 from lacewing_daemon.direct._metrics import REPEATS_DENIED
 from lacewing_daemon.direct._metrics import REQUESTS
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._policy import LoadPolicy
-from lacewing_daemon.direct._request_log import RequestEnd
 from lacewing_daemon.direct._request_log import RequestLog
+from lacewing_daemon.direct._request_log import RequestOutcome
 from lacewing_daemon.direct._send import Send
-from lacewing_daemon.direct._send import Sent
+from lacewing_daemon.direct._send import SendResult
 from lacewing_daemon.direct._site import Wire
 from lacewing_daemon.direct._stream_relay import StreamRelay
 from lacewing_daemon.direct._target import Target
+from lacewing_daemon.direct.crashes._detector import COLLECT_WINDOW_S
 from lacewing_daemon.direct.crashes._fingerprint import fingerprint
-from lacewing_daemon.direct.crashes._witness import GATHER_S
 from lacewing_daemon.refusals import Refusals
 
 _MS = 1000.0
@@ -53,7 +53,7 @@
 BUDGET_RETRY_S = 1.0
 # A crash is known once a connection was refused, some ms after the runs there
 # were gathered.
-HEARS_S = 2 * GATHER_S
+HEARS_S = 2 * COLLECT_WINDOW_S
 
 _STATUS = {
     Reason.BAD_KEY: 401,
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Serving:
+class ServingContext:
     """Hold what all requests of a router share."""
 
     fleet: Fleet
@@ -85,7 +85,10 @@
     """Serve one request to its end."""
 
     def __init__(
-        self, serving: Serving, request: CallerRequest, reply: CallerReply
+        self,
+        serving: ServingContext,
+        request: CallerRequest,
+        reply: CallerReply,
     ) -> None:
         self._serving = serving
         self._fleet = serving.fleet
@@ -107,7 +110,7 @@
         """Serve the request; cancelled when its caller has left."""
         admitted = admit(
             self._request,
-            self._fleet.knowledge.directory,
+            self._fleet.cluster_state.routing_config,
             self._fleet.keys_confirmed,
             self._serving.random,
         )
@@ -116,7 +119,7 @@
             return
         self._admitted = admitted
         self._fingerprint = fingerprint(self._request, admitted.team_name)
-        budget = self._fleet.knowledge.budget(admitted.service)
+        budget = self._fleet.cluster_state.retry_budget(admitted.service)
         budget.count_request(time.monotonic())
         end_s = self._request.received_s + self._allowed_s(admitted)
         try:
@@ -146,7 +149,7 @@
             if self._is_blocked():
                 return self._blocked()
             target = self._place(admitted, end_s)
-            if isinstance(target, NoRoom):
+            if isinstance(target, NoCapacity):
                 # Symptom: when an engine is lost, streams of it are cut
                 # beside engines that live. They leave together, the first
                 # ones fill what may wait at an engine, and the rest was
@@ -168,7 +171,7 @@
             )
             sent = await self._sending.run(relay, end_s)
             self._sending = None
-            self._tries.append(sent.tried)
+            self._tries.append(sent.log_entry)
             self._arrived |= sent.end.contact is Contact.MADE
             if self._is_answer(sent.end):
                 await self._deliver(relay, sent.end)
@@ -181,8 +184,8 @@
             relay.restart()
 
     def _is_blocked(self) -> bool:
-        guard = self._fleet.guard
-        if not guard.blocks(self._fingerprint):
+        guard = self._fleet.crash_guard
+        if not guard.is_blocked(self._fingerprint):
             return False
         # A retry is never a probe: the request may have caused the newest
         # crash on an earlier attempt.
@@ -192,7 +195,7 @@
         return not_run(
             Reason.WORKERS_CRASHED,
             'upstreams crashed under this request',
-            self._fleet.guard.retry_after_s(self._fingerprint),
+            self._fleet.crash_guard.retry_after_s(self._fingerprint),
         )
 
     async def _hear_of_crash(self) -> None:
@@ -201,15 +204,15 @@
         Sent on at once, a request that has crashed one upstream before would
         end another one while this router still looks at the second.
         """
-        if self._fleet.guard.suspects(self._fingerprint):
+        if self._fleet.crash_guard.is_suspected(self._fingerprint):
             await asyncio.sleep(HEARS_S)
 
     def _place(
         self, admitted: Admitted, end_s: float
-    ) -> Target | NoRoom | Refusal:
+    ) -> Target | NoCapacity | Refusal:
         """Return where to send, NoRoom to look again, or why not to."""
         now_s = time.monotonic()
-        placed: Target | NoRoom
+        placed: Target | NoCapacity
         if self._goes_on is not None:
             placed = self._goes_on
         else:
@@ -220,21 +223,23 @@
                 self._left_ms(admitted, end_s, now_s),
                 now_s,
             )
-        if isinstance(placed, NoRoom):
+        if isinstance(placed, NoCapacity):
             if self._waits_for_room(admitted, now_s):
                 return placed
             return not_run(
                 Reason.NO_WORKER,
                 'no upstream can answer in time',
-                placed.room_ms / _MS,
+                placed.retry_after_ms / _MS,
             )
         if not self._arrived:
             # A repeat is what loads upstreams once more. What reached none
             # has loaded nobody: asked for it, the budget was used up by
             # engines that crash, and prompts were refused beside idle ones.
             return placed
-        budget = self._fleet.knowledge.budget(admitted.service)
-        if budget.spend(now_s, self._fleet.knowledge.routers, self._runs > 0):
+        budget = self._fleet.cluster_state.retry_budget(admitted.service)
+        if budget.spend(
+            now_s, self._fleet.cluster_state.router_count, self._runs > 0
+        ):
             return placed
         REPEATS_DENIED.labels(admitted.service.name).inc()
         return not_run(
@@ -246,7 +251,7 @@
         if not self._reply.begun:
             return False
         if self._room_until_s is None:
-            wait_s = admitted.route.leaves_s * ROOM_PART
+            wait_s = admitted.route.abandon_after_s * ROOM_PART
             self._room_until_s = now_s + wait_s
         return now_s < self._room_until_s
 
@@ -264,15 +269,15 @@
         known of all these is asked before.
         """
         now_s = time.monotonic()
-        budget = self._fleet.knowledge.budget(admitted.service)
-        routers = self._fleet.knowledge.routers
+        budget = self._fleet.cluster_state.retry_budget(admitted.service)
+        routers = self._fleet.cluster_state.router_count
         if self._sends >= MAX_SENDS:
             return False
         if not budget.allows(now_s, routers, True, others):
             return False
         placer = self._serving.placer
         if not admitted.route.may_repeat:
-            return self._reply.begun and placer.copy_serves(
+            return self._reply.begun and placer.copy_is_usable(
                 self._request, target, now_s
             )
         if self._runs + 1 >= admitted.route.max_runs:
@@ -280,11 +285,13 @@
         left_ms = (end_s - now_s) * _MS
         if self._request.prompt is not None:
             tokens = self._request.prompt.expected_tokens
-            policy = self._fleet.knowledge.policy_for(admitted.service.name)
+            policy = self._fleet.cluster_state.policy_for(
+                admitted.service.name
+            )
             left_ms -= tokens * policy.step_ms
         tried = self._tried | {target.state.upstream.upstream_id}
         placed = placer.place(self._request, admitted, tried, left_ms, now_s)
-        return not isinstance(placed, NoRoom)
+        return not isinstance(placed, NoCapacity)
 
     def _left_ms(
         self, admitted: Admitted, end_s: float, now_s: float
@@ -301,17 +308,17 @@
         return (self._request.received_s + wanted_s - now_s) * _MS
 
     def _settle(
-        self, admitted: Admitted, target: Target, sent: Sent
+        self, admitted: Admitted, target: Target, sent: SendResult
     ) -> Refusal | None:
         """Return why no further send is made, None to send once more."""
         state = target.state
         end = sent.end
-        if end.verdict is Verdict.NOT_RUN and target.goes_on:
+        if end.verdict is Verdict.NOT_RUN and target.is_continuation:
             # There is no copy. The run that it was of did begin, so the
             # request must not be sent anywhere else.
             return may_have_run(Reason.STREAM_BROKEN, 'no copy of the run')
         if end.verdict is Verdict.NOT_RUN:
-            if not sent.told_newer:
+            if not sent.has_newer_weights:
                 self._tried |= {state.upstream.upstream_id}
             refusal = not_run(
                 end.reason, 'the upstream refused', REFUSED_RETRY_S
@@ -336,7 +343,7 @@
         """
         if not self._reply.begun or self._sends >= MAX_SENDS:
             return lost
-        self._goes_on = self._serving.placer.go_on(target)
+        self._goes_on = self._serving.placer.continuation(target)
         return lost if self._goes_on is None else None
 
     def _is_answer(self, end: AttemptEnd) -> bool:
@@ -396,7 +403,7 @@
         if self._sending is not None and refusal is not None:
             self._tries.append(self._sending.unfinished(refusal.reason))
         admitted = self._admitted
-        directory = self._fleet.knowledge.directory
+        directory = self._fleet.cluster_state.routing_config
         now_s = time.monotonic()
         service = '' if admitted is None else admitted.service.name
         team = '' if admitted is None else admitted.team_name
@@ -406,7 +413,7 @@
         deadline_s = self._request.deadline_s or 0.0
         elapsed_s = now_s - self._request.received_s
         self._serving.log.ended(
-            RequestEnd(
+            RequestOutcome(
                 request_id=self._request.request_id,
                 service=service,
                 team=team,
@@ -418,9 +425,9 @@
                 left_ms=int((deadline_s - elapsed_s) * _MS),
                 config=0 if directory is None else directory.version,
                 config_age_ms=int(
-                    min(self._fleet.directory_age_s, _LONG_S) * _MS
+                    min(self._fleet.routing_config_age_s, _LONG_S) * _MS
                 ),
-                upstreams=len(self._fleet.knowledge.states(service)),
+                upstreams=len(self._fleet.cluster_state.upstreams_of(service)),
                 tries=tuple(self._tries),
                 fingerprint=self._fingerprint,
             ),
--- a/packages/daemon/src/lacewing_daemon/direct/_fleet.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_fleet.py
@@ -8,34 +8,34 @@
 from lacewing_common.log import Part
 
 from lacewing_daemon.direct._attempt import Contact
+from lacewing_daemon.direct._cluster_state import ClusterState
+from lacewing_daemon.direct._cluster_state import ReleaseSource
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
+from lacewing_daemon.direct._collection_watcher import CONFIRM_FRACTION
 from lacewing_daemon.direct._connection import connect
-from lacewing_daemon.direct._directory import Directory
-from lacewing_daemon.direct._eras import StoreEras
-from lacewing_daemon.direct._followed import CONFIRM_PART
-from lacewing_daemon.direct._followed import Followed
-from lacewing_daemon.direct._knowledge import Knowledge
-from lacewing_daemon.direct._knowledge import Learnt
+from lacewing_daemon.direct._entry_order import is_older_release
+from lacewing_daemon.direct._entry_order import is_older_routing_config
+from lacewing_daemon.direct._entry_order import is_older_upstream
 from lacewing_daemon.direct._metrics import STORE_AGE_SECONDS
-from lacewing_daemon.direct._older import older_directory
-from lacewing_daemon.direct._older import older_upstream
-from lacewing_daemon.direct._older import older_weights
+from lacewing_daemon.direct._observed_revisions import WATCH_GAP_S
 from lacewing_daemon.direct._pool import ConnectionPool
 from lacewing_daemon.direct._router_count import RouterCount
+from lacewing_daemon.direct._routing_config import RoutingConfig
 from lacewing_daemon.direct._settings import DirectSettings
-from lacewing_daemon.direct._silence import SilenceWatch
+from lacewing_daemon.direct._silence_detector import SilenceDetector
 from lacewing_daemon.direct._site import Site
-from lacewing_daemon.direct._store_calls import CountedObjects
-from lacewing_daemon.direct._store_calls import StoreCalls
-from lacewing_daemon.direct._told_revisions import DEAF_S
-from lacewing_daemon.direct._upstream import NamedWeights
+from lacewing_daemon.direct._store_calls import InstrumentedObjects
+from lacewing_daemon.direct._store_calls import StoreCallCounter
+from lacewing_daemon.direct._store_eras import StoreEras
+from lacewing_daemon.direct._upstream import ReleasedWeights
 from lacewing_daemon.direct._upstream import Upstream
 from lacewing_daemon.direct._upstream_state import UpstreamState
+from lacewing_daemon.direct.crashes._crash_store import CRASHES
 from lacewing_daemon.direct.crashes._guard import CrashGuard
-from lacewing_daemon.direct.crashes._stored import CRASHES
 
 # How long a call waits for changes, at most. Each call that returns also
 # proves that the store is reached.
-DIRECTORY_WAIT_S = 1.2
+ROUTING_CONFIG_WAIT_S = 1.2
 UPSTREAMS_WAIT_S = 2.0
 WEIGHTS_WAIT_S = 4.0
 # Crashes are rare, and routers tell them to each other as well.
@@ -46,14 +46,14 @@
 # some are replaced, which takes 2.5 calls a second at 0.2 s and 1.7 at 0.5
 # (counted over 30 s). At 0.8 s 1.1% fewer prompts came in time, as routers
 # ask longer for weights that an engine no longer has.
-DIRECTORY_GATHER_S = 0.15
-UPSTREAMS_GATHER_S = 0.5
-CRASHES_GATHER_S = 0.3
+ROUTING_CONFIG_BATCH_DELAY_S = 0.15
+UPSTREAMS_BATCH_DELAY_S = 0.5
+CRASHES_BATCH_DELAY_S = 0.3
 # Left of the time to refuse keys for what is under way when it has come.
 CONFIRM_SLACK_S = 0.15
 # Where the time is so short that waiting calls, which may be deaf for a
 # second, could never confirm anything, only so much of it is allowed for.
-DEAF_PART = 0.5
+WATCH_GAP_FRACTION = 0.5
 SWEEP_S = 1.0
 # An entry of an upstream that had gone before the store returned from a copy
 # lapses again within three heartbeats, unless the upstream lives after all.
@@ -64,7 +64,7 @@
 _log = get_log(Part.PLATFORM)
 
 
-def keys_believed_s(revoke_s: float) -> float:
+def keys_valid_s(revoke_s: float) -> float:
     """Return for how long a configuration is believed unconfirmed.
 
     Requests with keys are refused after that, as a key may have been taken
@@ -74,85 +74,87 @@
     return max(revoke_s / 2, revoke_s - CONFIRM_SLACK_S)
 
 
-def deaf_s(revoke_s: float) -> float:
+def watch_gap_s(revoke_s: float) -> float:
     """Return for how long a waiting call is taken to have been deaf."""
-    return min(DEAF_S, keys_believed_s(revoke_s) * DEAF_PART)
+    return min(WATCH_GAP_S, keys_valid_s(revoke_s) * WATCH_GAP_FRACTION)
 
 
-def directory_wait_s(revoke_s: float) -> float:
+def routing_config_wait_s(revoke_s: float) -> float:
     """Return how long a call waits for a change of the configuration.
 
     While one call waits, what the one before confirmed grows older by that
     time. If it passed the time to refuse keys, a router would refuse all
     requests with keys again and again, though the store answers.
     """
-    confirmed_s = keys_believed_s(revoke_s) * CONFIRM_PART
-    return min(DIRECTORY_WAIT_S, confirmed_s - deaf_s(revoke_s))
+    confirmed_s = keys_valid_s(revoke_s) * CONFIRM_FRACTION
+    return min(ROUTING_CONFIG_WAIT_S, confirmed_s - watch_gap_s(revoke_s))
 
 
 class Fleet:
     """Follow the store and track the upstreams."""
 
     def __init__(self, settings: DirectSettings, site: Site) -> None:
-        self._knowledge = Knowledge(settings.bounds, settings.policy)
+        self._knowledge = ClusterState(settings.bounds, settings.policy)
         random = Random()
-        self._calls = StoreCalls()
+        self._calls = StoreCallCounter()
         self._eras = StoreEras()
-        self._store = CountedObjects(site.store, self._calls, self._eras)
-        self._directories: Followed[Directory] = Followed(
-            'configuration',
-            site.directories,
-            directory_wait_s(settings.bounds.revoke_s),
-            random,
-            gather_s=DIRECTORY_GATHER_S,
-            deaf_s=deaf_s(settings.bounds.revoke_s),
-            strict=True,
-            doubted_s=keys_believed_s(settings.bounds.revoke_s),
-            calls=self._calls,
-            eras=self._eras,
-            is_older=older_directory,
+        self._store = InstrumentedObjects(site.store, self._calls, self._eras)
+        self._directories: CollectionWatcher[RoutingConfig] = (
+            CollectionWatcher(
+                'configuration',
+                site.routing_configs,
+                routing_config_wait_s(settings.bounds.revoke_s),
+                random,
+                batch_delay_s=ROUTING_CONFIG_BATCH_DELAY_S,
+                watch_gap_s=watch_gap_s(settings.bounds.revoke_s),
+                strict=True,
+                max_unconfirmed_s=keys_valid_s(settings.bounds.revoke_s),
+                calls=self._calls,
+                eras=self._eras,
+                is_older=is_older_routing_config,
+            )
         )
-        self._upstreams: Followed[Upstream] = Followed(
+        self._upstreams: CollectionWatcher[Upstream] = CollectionWatcher(
             'upstreams',
             site.upstreams,
             UPSTREAMS_WAIT_S,
             random,
             True,
-            UPSTREAMS_GATHER_S,
+            UPSTREAMS_BATCH_DELAY_S,
             drop_unreadable=True,
             calls=self._calls,
-            guide=self._directories,
+            reconnect_leader=self._directories,
             eras=self._eras,
-            is_older=older_upstream,
-            doubt_s=COPIED_UPSTREAM_S,
+            is_older=is_older_upstream,
+            restored_timeout_s=COPIED_UPSTREAM_S,
         )
-        self._weights: Followed[NamedWeights] = Followed(
+        self._weights: CollectionWatcher[ReleasedWeights] = CollectionWatcher(
             'weights',
             site.weights,
             WEIGHTS_WAIT_S,
             random,
             calls=self._calls,
-            guide=self._directories,
+            reconnect_leader=self._directories,
             eras=self._eras,
-            is_older=older_weights,
+            is_older=is_older_release,
         )
-        self._crashes: Followed[str] = Followed(
+        self._crashes: CollectionWatcher[str] = CollectionWatcher(
             CRASHES,
-            site.own_texts(CRASHES),
+            site.system_texts(CRASHES),
             CRASHES_WAIT_S,
             random,
-            gather_s=CRASHES_GATHER_S,
+            batch_delay_s=CRASHES_BATCH_DELAY_S,
             calls=self._calls,
-            guide=self._directories,
+            reconnect_leader=self._directories,
             eras=self._eras,
         )
-        self._on_directory: Callable[[Directory], None] | None = None
+        self._on_directory: Callable[[RoutingConfig], None] | None = None
         self._pool = ConnectionPool()
         self._routers = RouterCount(
             self._store,
             settings.process_id,
             random,
-            self._knowledge.take_routers,
+            self._knowledge.set_router_count,
             address=settings.peers,
             eras=self._eras,
         )
@@ -166,7 +168,7 @@
             random,
             self._eras,
         )
-        self._silence = SilenceWatch(settings.policy.mute_ms / 1000)
+        self._silence = SilenceDetector(settings.policy.mute_ms / 1000)
         self._tasks: list[asyncio.Task[None]] = []
         self._directories.on_change(self._take_directory)
         self._upstreams.on_change(self._take_upstream)
@@ -178,17 +180,17 @@
         return self._pool
 
     @property
-    def store(self) -> CountedObjects:
+    def store(self) -> InstrumentedObjects:
         """Return the store of the system's own objects, calls counted."""
         return self._store
 
     @property
-    def silence(self) -> SilenceWatch:
+    def silence_detector(self) -> SilenceDetector:
         """Return the watch over upstreams with streams under way."""
         return self._silence
 
     @property
-    def guard(self) -> CrashGuard:
+    def crash_guard(self) -> CrashGuard:
         """Return what blocks requests that crash upstreams."""
         return self._guard
 
@@ -198,7 +200,7 @@
         return self._routers.addresses
 
     @property
-    def knowledge(self) -> Knowledge:
+    def cluster_state(self) -> ClusterState:
         """Return what is known, as far as it was followed."""
         return self._knowledge
 
@@ -206,24 +208,26 @@
     def ready(self) -> bool:
         """Tell whether requests can be served."""
         return (
-            self._knowledge.directory is not None
-            and self._upstreams.read_once
-            and self._crashes.read_once
+            self._knowledge.routing_config is not None
+            and self._upstreams.has_loaded
+            and self._crashes.has_loaded
             and self.keys_confirmed
         )
 
     @property
     def keys_confirmed(self) -> bool:
         """Tell whether a key that was taken away would be known."""
-        limit_s = keys_believed_s(self._knowledge.bounds.revoke_s)
+        limit_s = keys_valid_s(self._knowledge.bounds.revoke_s)
         return self._directories.age_s < limit_s
 
     @property
-    def directory_age_s(self) -> float:
+    def routing_config_age_s(self) -> float:
         """Return for how long the configuration has not been confirmed."""
         return self._directories.age_s
 
-    def on_directory(self, callback: Callable[[Directory], None]) -> None:
+    def on_routing_config(
+        self, callback: Callable[[RoutingConfig], None]
+    ) -> None:
         """Call back with each configuration that comes into force."""
         self._on_directory = callback
 
@@ -239,7 +243,7 @@
             state, model, version, self._weights.age_s
         )
 
-    def measure_ages(self) -> None:
+    def update_age_metrics(self) -> None:
         """Write the ages of what is known into the metrics."""
         for name, age_s in (
             ('configuration', self._directories.age_s),
@@ -274,14 +278,14 @@
         for task in self._tasks:
             task.cancel()
         self._guard.close()
-        self._calls.tell()
+        self._calls.log_counts()
         self._pool.close()
 
-    def _take_directory(self, _name: str, value: Directory | None) -> None:
-        known = self._knowledge.directory
-        if value is None or not self._knowledge.take_directory(value):
+    def _take_directory(self, _name: str, value: RoutingConfig | None) -> None:
+        known = self._knowledge.routing_config
+        if value is None or not self._knowledge.update_routing_config(value):
             return
-        read = self._directories.last_read
+        read = self._directories.last_response
         _log.info(
             'Took a configuration.',
             version=value.version,
@@ -295,17 +299,17 @@
         if self._on_directory is not None:
             self._on_directory(value)
 
-    def _take_weights(self, _name: str, value: NamedWeights | None) -> None:
+    def _take_weights(self, _name: str, value: ReleasedWeights | None) -> None:
         if value is not None:
-            self._knowledge.take_weights(
-                value, self._weights.unsure_s, Learnt.STORE
+            self._knowledge.record_release(
+                value, self._weights.max_change_age_s, ReleaseSource.STORE
             )
 
     def _take_upstream(self, name: str, value: Upstream | None) -> None:
-        self._knowledge.take_upstream(name, value)
+        self._knowledge.update_upstream(name, value)
         if value is None:
             return
-        state = self._knowledge.state(name)
+        state = self._knowledge.upstream(name)
         if state is not None:
             self._take_entry_weights(state)
 
--- a/packages/daemon/src/lacewing_daemon/direct/_learning.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_learning.py
@@ -2,7 +2,7 @@
 
 from lacewing_daemon.direct._call import Prompt
 from lacewing_daemon.direct._estimates import Estimates
-from lacewing_daemon.direct._estimates import Read
+from lacewing_daemon.direct._estimates import PrefillSample
 from lacewing_daemon.direct._target import Target
 
 
@@ -18,8 +18,10 @@
     Only if nothing is known to have waited before it, and if the engine was
     not sent the prompt's own part before, which it may have kept.
     """
-    estimates.learn_sent(target.read_ms, now_s)
-    if not target.is_first or target.waits_ms > target.excess_ms:
+    estimates.learn_expected_prefill(target.prefill_ms, now_s)
+    if not target.is_first or target.wait_ms > target.lateness_ms:
         return
     shared = sum(part.tokens for part in prompt.shared)
-    estimates.learn_read(Read(now_s, prompt.tokens - shared, shared, took_ms))
+    estimates.learn_prefill(
+        PrefillSample(now_s, prompt.tokens - shared, shared, took_ms)
+    )
--- a/packages/daemon/src/lacewing_daemon/direct/_line_budget.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_line_budget.py
@@ -22,7 +22,7 @@
         self._at_s = now_s
         self._left_out = 0
 
-    def take(self, failure: bool, now_s: float) -> bool:
+    def allow(self, failure: bool, now_s: float) -> bool:
         """Tell whether a line may be written now."""
         gained = (now_s - self._at_s) * LINES_PER_S
         self._left = min(LINES_AT_ONCE, self._left + gained)
@@ -34,7 +34,7 @@
         self._left -= 1.0
         return True
 
-    def take_left_out(self) -> int:
+    def pop_dropped_count(self) -> int:
         """Return the number of lines left out since the last call."""
         left_out = self._left_out
         self._left_out = 0
--- a/packages/daemon/src/lacewing_daemon/direct/_loading.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_loading.py
@@ -21,7 +21,7 @@
 _MS = 1000.0
 
 
-def load_times(
+def load_schedule(
     model: str,
     version: int,
     engines: Mapping[str, int],
@@ -58,7 +58,7 @@
     return times
 
 
-def nearly_overdue_s(old_limit_s: float) -> float:
+def nearly_overdue_after_s(old_limit_s: float) -> float:
     """Return after which part of their time weights are nearly overdue."""
     return max(0.0, old_limit_s - LAST_ORDERS * REPEAT_S)
 
@@ -67,11 +67,11 @@
 class EngineWeights:
     """Hold what the planner knows of one engine and one model.
 
-    ``version`` is 0 when unknown; ``ordered_ago_s`` how long ago it was
-    last ordered to load, infinite for never. ``open_requests`` are this
-    router's requests there; ``due_in_s`` the time until it is to load,
-    negative once that has passed. ``near_in_s`` is the time until its
-    weights are nearly overdue, negative once they are.
+    ``version`` is 0 when unknown; ``ordered_ago_s`` how long ago it was last
+    ordered to load, infinite for never. ``open_requests`` are this router's
+    requests there; ``due_in_s`` the time until it is to load, negative once
+    that has passed. ``nearly_overdue_in_s`` is the time until its weights are
+    nearly overdue, negative once they are.
     """
 
     upstream_id: str
@@ -79,7 +79,7 @@
     ordered_ago_s: float
     open_requests: int
     due_in_s: float = 0.0
-    near_in_s: float = float('inf')
+    nearly_overdue_in_s: float = float('inf')
 
 
 def next_loads(
@@ -104,7 +104,7 @@
         if engine.ordered_ago_s < REPEAT_S:
             loading += 1
             continue
-        if engine.due_in_s > 0 and engine.near_in_s > 0:
+        if engine.due_in_s > 0 and engine.nearly_overdue_in_s > 0:
             continue
         behind.append(engine)
     at_once = ceil(len(engines) / policy.load_turns)
@@ -116,4 +116,4 @@
 
 
 def _rank(engine: EngineWeights) -> tuple[float, int]:
-    return min(0.0, engine.near_in_s), engine.open_requests
+    return min(0.0, engine.nearly_overdue_in_s), engine.open_requests
--- a/packages/daemon/src/lacewing_daemon/direct/_told_revisions.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_observed_revisions.py
@@ -4,14 +4,14 @@
 
 # Before a store drops its history, calls that wait for changes hear nothing
 # of them for a second; then they are cut.
-DEAF_S = 1.0
+WATCH_GAP_S = 1.0
 # What was told this long before a call that failed was not told deafly: it
 # may have failed as such a call is cut. Half of it is for answers on their
 # way and for the scheduling of a busy VM.
-SURE_S = 1.5 * DEAF_S
+SURE_S = 1.5 * WATCH_GAP_S
 
 
-class ToldRevisions:
+class ObservedRevisions:
     """Hold when each revision was told.
 
     Before a store drops its history, calls that wait hear nothing for a
@@ -23,21 +23,21 @@
         # The first one was surely told with all changes up to it.
         self._told: deque[tuple[float, int]] = deque()
 
-    def read(self, revision: int, now_s: float) -> None:
+    def reset(self, revision: int, now_s: float) -> None:
         """Note that a whole list was read as of a revision."""
         self._told.clear()
-        self.tell(revision, now_s)
+        self.observe(revision, now_s)
 
-    def tell(self, revision: int, now_s: float) -> None:
+    def observe(self, revision: int, now_s: float) -> None:
         """Note that changes up to a revision were told."""
         self._told.append((now_s, revision))
         self._forget(now_s)
 
-    def sure(self) -> int | None:
+    def last_reliable(self) -> int | None:
         """Return the last revision that was surely told, None for none."""
         return self._told[0][1] if self._told else None
 
-    def doubt(self, sent_s: float) -> None:
+    def discard_unreliable(self, sent_s: float) -> None:
         """Note that a call failed that was sent then.
 
         What was told shortly before does not become sure while calls fail.
--- a/packages/daemon/src/lacewing_daemon/direct/_placing.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_placing.py
@@ -4,31 +4,31 @@
 from dataclasses import replace
 
 from lacewing_daemon.direct._admission import Admitted
+from lacewing_daemon.direct._cache_salt import compute_cache_salt
+from lacewing_daemon.direct._cached_parts import CachedParts
 from lacewing_daemon.direct._call import CallerRequest
 from lacewing_daemon.direct._call import Prompt
-from lacewing_daemon.direct._candidates import heard
-from lacewing_daemon.direct._candidates import in_order
+from lacewing_daemon.direct._candidates import by_preference
+from lacewing_daemon.direct._candidates import responsive_upstreams
 from lacewing_daemon.direct._choice import EngineView
-from lacewing_daemon.direct._choice import NoRoom
+from lacewing_daemon.direct._choice import NoCapacity
 from lacewing_daemon.direct._choice import place
 from lacewing_daemon.direct._choice import place_plain
 from lacewing_daemon.direct._choice import Placement
 from lacewing_daemon.direct._choice import PlainView
-from lacewing_daemon.direct._copies import copy_holder
-from lacewing_daemon.direct._copies import room_for_copy
-from lacewing_daemon.direct._directory import Engine
-from lacewing_daemon.direct._directory import KvStore
-from lacewing_daemon.direct._kept_parts import KeptParts
-from lacewing_daemon.direct._knowledge import Knowledge
-from lacewing_daemon.direct._loading import nearly_overdue_s
-from lacewing_daemon.direct._namings import floor_of
-from lacewing_daemon.direct._namings import NamedVersion
-from lacewing_daemon.direct._namings import superseded_s
+from lacewing_daemon.direct._cluster_state import ClusterState
+from lacewing_daemon.direct._copies import choose_copy_upstream
+from lacewing_daemon.direct._copies import copy_token_limit
+from lacewing_daemon.direct._loading import nearly_overdue_after_s
 from lacewing_daemon.direct._policy import LoadPolicy
+from lacewing_daemon.direct._routing_config import Engine
+from lacewing_daemon.direct._routing_config import KvStore
 from lacewing_daemon.direct._target import Target
 from lacewing_daemon.direct._target import urgency_of
 from lacewing_daemon.direct._upstream_state import UpstreamState
-from lacewing_daemon.direct._wall import cache_wall
+from lacewing_daemon.direct._weights_releases import min_allowed_version
+from lacewing_daemon.direct._weights_releases import ReleaseAge
+from lacewing_daemon.direct._weights_releases import superseded_for_s
 
 _MS = 1000.0
 # How much sooner than elsewhere a first event would have to come at an engine
@@ -46,8 +46,8 @@
     admitted: Admitted
     engine: Engine
     kv_store: KvStore | None
-    named: NamedVersion
-    namings: tuple[NamedVersion, ...]
+    named: ReleaseAge
+    namings: tuple[ReleaseAge, ...]
     floor: int
     urgency: int
     now_s: float
@@ -57,13 +57,15 @@
 class Placer:
     """Place requests on the upstreams of a fleet."""
 
-    def __init__(self, knowledge: Knowledge, availability_zone: str) -> None:
+    def __init__(
+        self, knowledge: ClusterState, availability_zone: str
+    ) -> None:
         self._knowledge = knowledge
         self._zone = availability_zone
-        self._kept = KeptParts(knowledge)
+        self._kept = CachedParts(knowledge)
 
     @property
-    def kept(self) -> KeptParts:
+    def cached_parts(self) -> CachedParts:
         """Return what is known of kept parts."""
         return self._kept
 
@@ -74,12 +76,12 @@
         excluded: frozenset[str],
         left_ms: float,
         now_s: float,
-    ) -> Target | NoRoom:
+    ) -> Target | NoCapacity:
         """Choose an upstream for one attempt."""
         engine = admitted.service.engine
         prompt = request.prompt
         usable = []
-        for state in self._knowledge.states(admitted.service.name):
+        for state in self._knowledge.upstreams_of(admitted.service.name):
             if state.upstream.upstream_id in excluded:
                 continue
             if engine is not None and prompt is not None:
@@ -87,50 +89,50 @@
                     # Its entry, which another may have written, does not
                     # name the model.
                     continue
-            if state.usable(now_s):
+            if state.is_usable(now_s):
                 usable.append(state)
-        usable = heard(usable, now_s)
+        usable = responsive_upstreams(usable, now_s)
         if engine is None or prompt is None:
             return self._plain(usable, now_s)
-        namings = self._knowledge.namings(prompt.model)
+        namings = self._knowledge.releases(prompt.model)
         asked = _Asked(
             prompt,
             admitted,
             engine,
-            self._kept.store_for(prompt),
-            self._knowledge.named_weights(prompt.model),
+            self._kept.kv_store_for(prompt),
+            self._knowledge.current_release(prompt.model),
             namings,
-            floor_of(namings, self._knowledge.old_limit_s),
+            min_allowed_version(namings, self._knowledge.old_weights_limit_s),
             urgency_of(admitted),
             now_s,
             self._knowledge.policy_for(admitted.service.name),
         )
-        return self._engine(asked, in_order(prompt, usable), left_ms)
+        return self._engine(asked, by_preference(prompt, usable), left_ms)
 
-    def go_on(self, target: Target) -> Target | None:
+    def continuation(self, target: Target) -> Target | None:
         """Return where a run goes on whose upstream is lost, None: nowhere."""
         copy = target.copy_to
-        if copy is None or copy.ended or copy.upstream.leaving:
+        if copy is None or copy.replaced or copy.upstream.leaving:
             # A start that followed keeps no copy of before.
             return None
-        return replace(target, state=copy, copy_to=None, goes_on=True)
+        return replace(target, state=copy, copy_to=None, is_continuation=True)
 
-    def copy_serves(
+    def copy_is_usable(
         self, request: CallerRequest, target: Target, now_s: float
     ) -> bool:
         """Tell whether a run's copy is where it could go on by all known."""
-        there = self.go_on(target)
+        there = self.continuation(target)
         if there is None or request.prompt is None:
             return False
         state = there.state
         weights = state.weights(request.prompt.model)
         if target.weights is not None and weights != target.weights:
             return False
-        return state.usable(now_s) and not state.silent(now_s)
+        return state.is_usable(now_s) and not state.is_silent(now_s)
 
     def _plain(
         self, usable: list[UpstreamState], now_s: float
-    ) -> Target | NoRoom:
+    ) -> Target | NoCapacity:
         views = []
         states = {}
         for state in usable:
@@ -140,20 +142,20 @@
                 PlainView(
                     upstream.upstream_id,
                     upstream.availability_zone == self._zone,
-                    state.in_flight + state.others(now_s),
+                    state.in_flight + state.other_requests(now_s),
                     max(1, upstream.slots),
                     state.in_flight,
-                    state.unused_s(now_s),
+                    state.idle_s(now_s),
                 )
             )
         placed = place_plain(views)
-        if isinstance(placed, NoRoom):
+        if isinstance(placed, NoCapacity):
             return placed
         return Target(states[placed.upstream_id], 0.0)
 
     def _engine(
         self, asked: _Asked, states: list[UpstreamState], left_ms: float
-    ) -> Target | NoRoom:
+    ) -> Target | NoCapacity:
         views = []
         targets = {}
         away_ms = _away_ms(asked)
@@ -165,12 +167,14 @@
             views.append(view)
         tokens = asked.prompt.expected_tokens
         placed = place(views, left_ms, asked.policy, tokens)
-        if isinstance(placed, NoRoom):
+        if isinstance(placed, NoCapacity):
             return placed
         target = targets[placed.upstream_id]
         others = tuple(targets.values())
         copy_to = self._copy_to(asked, target, others, views, placed)
-        return replace(target, first_ms=placed.first_ms, copy_to=copy_to)
+        return replace(
+            target, first_event_ms=placed.first_event_ms, copy_to=copy_to
+        )
 
     def _target(self, asked: _Asked, state: UpstreamState) -> Target:
         """Return how the request would be sent to one engine."""
@@ -181,20 +185,20 @@
         # old itself, and nobody would tell: it is asked for the floor, and
         # refuses if it has other weights.
         weights = max(weights, asked.floor)
-        old_ms = superseded_s(asked.namings, weights) * _MS
-        wall = cache_wall(asked.admitted.team, prompt.model, weights)
+        old_ms = superseded_for_s(asked.namings, weights) * _MS
+        wall = compute_cache_salt(asked.admitted.team, prompt.model, weights)
         kv_store = asked.kv_store
-        excess_ms = state.excess_ms(now_s)
+        excess_ms = state.lateness_ms(now_s)
         policy = asked.policy
         speed = policy.prefill_tokens_per_ms
-        own_ms = state.waiting_ms(asked.urgency, speed)
+        own_ms = state.queued_prefill_ms(asked.urgency, speed)
         # Other routers' requests are taken to need as much reading as a
         # usual one of this router.
-        others_ms = state.others_waiting(now_s) * policy.usual_read_ms
+        others_ms = state.other_waiting(now_s) * policy.usual_read_ms
         waits_ms = own_ms + others_ms + excess_ms
         return Target(
             state,
-            self._kept.read_ms(
+            self._kept.prefill_ms(
                 state, wall, prompt, asked.engine, kv_store, now_s, speed
             ),
             wall,
@@ -202,10 +206,10 @@
             None if kv_store is None else kv_store.address,
             self._kept.save_to(kv_store, wall, prompt, now_s),
             asked.urgency,
-            waits_ms=waits_ms,
-            excess_ms=excess_ms,
-            named=asked.named.version,
-            old_ms=old_ms,
+            wait_ms=waits_ms,
+            lateness_ms=excess_ms,
+            released_version=asked.named.version,
+            superseded_ms=old_ms,
             is_first=_is_first(state, wall, prompt, now_s),
             tokens_per_ms=speed,
         )
@@ -223,7 +227,7 @@
         has = state.weights(model) or asked.named.version
         handicap_ms = away_ms
         # Answers count less from the first naming that the engine lacks.
-        old_s = superseded_s(asked.namings, has)
+        old_s = superseded_for_s(asked.namings, has)
         if old_s > asked.policy.old_weights_s:
             handicap_ms += asked.policy.old_weights_ms
         if has < asked.floor:
@@ -231,9 +235,9 @@
         return EngineView(
             upstream.upstream_id,
             upstream.availability_zone == self._zone,
-            target.waits_ms,
-            target.read_ms,
-            state.waiting(asked.urgency),
+            target.wait_ms,
+            target.prefill_ms,
+            state.waiting_count(asked.urgency),
             state.in_flight,
             self._load_in_ms(state, model, old_s, asked.named.age_s),
             handicap_ms,
@@ -245,9 +249,9 @@
         """Return the time until an engine is to load, infinite for never."""
         if old_s <= 0:
             return float('inf')
-        times = self._knowledge.load_times(model)
+        times = self._knowledge.load_schedule(model)
         at_s = times.get(state.upstream.upstream_id, float('inf'))
-        near_s = nearly_overdue_s(self._knowledge.old_limit_s)
+        near_s = nearly_overdue_after_s(self._knowledge.old_weights_limit_s)
         return min(at_s - age_s, near_s - old_s) * _MS
 
     def _copy_to(
@@ -262,13 +266,13 @@
         if not asked.engine.copies or asked.admitted.route.may_repeat:
             return None
         run_ms = asked.prompt.expected_tokens * asked.policy.step_ms
-        room = room_for_copy(
+        room = copy_token_limit(
             asked.engine.kv_tokens * asked.policy.copies_part,
-            self._knowledge.routers,
+            self._knowledge.router_count,
             asked.prompt.tokens,
         )
-        ends_ms = placed.first_ms + run_ms
-        return copy_holder(target, others, views, ends_ms, room)
+        ends_ms = placed.first_event_ms + run_ms
+        return choose_copy_upstream(target, others, views, ends_ms, room)
 
 
 def _is_first(
@@ -277,7 +281,7 @@
     """Tell whether a prompt's own part was not sent to an engine lately."""
     if not prompt.parts:
         return True
-    return not state.holds(wall, prompt.parts[-1].part_id, now_s)
+    return not state.has_part(wall, prompt.parts[-1].part_id, now_s)
 
 
 def _away_ms(asked: _Asked) -> float:
--- a/packages/daemon/src/lacewing_daemon/direct/_planner.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_planner.py
@@ -9,7 +9,7 @@
 from lacewing_common.log import Part
 
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._knowledge import Knowledge
+from lacewing_daemon.direct._cluster_state import ClusterState
 from lacewing_daemon.direct._loading import EngineWeights
 from lacewing_daemon.direct._loading import next_loads
 from lacewing_daemon.direct._metrics import LEASE_HELD
@@ -17,11 +17,11 @@
 from lacewing_daemon.direct._site import LoadOrder
 from lacewing_daemon.direct._site import OrderVerdict
 from lacewing_daemon.direct._site import UpstreamControl
-from lacewing_daemon.direct._upstream import NamedWeights
+from lacewing_daemon.direct._upstream import ReleasedWeights
 from lacewing_daemon.direct._upstream import Upstream
 from lacewing_daemon.direct._upstream_state import UpstreamState
-from lacewing_daemon.lease import Held
 from lacewing_daemon.lease import Lease
+from lacewing_daemon.lease import LeaseHeld
 
 # How often the holder looks for engines behind, and renews its lease.
 LOOK_S = 0.1
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: ClusterState,
         control: UpstreamControl,
         lease: Lease,
         holder: str,
@@ -114,11 +114,11 @@
 
     async def _keep_lease(self) -> None:
         now_s = boot_s()
-        if self._lease.held and now_s - self._renewed_s < RENEW_S:
+        if self._lease.is_held and now_s - self._renewed_s < RENEW_S:
             return
-        was_held = self._held and self._lease.held
+        was_held = self._held and self._lease.is_held
         answer = await self._lease.acquire()
-        self._held = isinstance(answer, Held)
+        self._held = isinstance(answer, LeaseHeld)
         LEASE_HELD.set(int(self._held))
         if not self._held:
             if was_held:
@@ -155,14 +155,14 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _due(self) -> list[tuple[UpstreamState, NamedWeights]]:
+    def _due(self) -> list[tuple[UpstreamState, ReleasedWeights]]:
         """Return the engines to order now."""
         due = []
-        for named in self._knowledge.named:
+        for named in self._knowledge.released_weights:
             engines = self._engines(named.model)
             chosen = next_loads(engines, named.version, self._policy)
             for upstream_id in chosen:
-                state = self._knowledge.state(upstream_id)
+                state = self._knowledge.upstream(upstream_id)
                 if state is None or state in self._busy:
                     continue
                 due.append((state, named))
@@ -170,11 +170,13 @@
 
     def _engines(self, model: str) -> list[EngineWeights]:
         engines = []
-        age_s = self._knowledge.named_weights(model).age_s
-        times = self._knowledge.load_times(model)
+        age_s = self._knowledge.current_release(model).age_s
+        times = self._knowledge.load_schedule(model)
         for upstream_id, state in self._knowledge.upstreams.items():
             version = state.weights(model)
-            if version is None or not self._knowledge.routed(state.upstream):
+            if version is None or not self._knowledge.is_routed(
+                state.upstream
+            ):
                 continue
             ordered = self._ordered.get(state, {})
             at_s = ordered.get(model, float('-inf'))
@@ -185,7 +187,7 @@
                     boot_s() - at_s,
                     state.in_flight,
                     times.get(upstream_id, 0.0) - age_s,
-                    self._knowledge.near_in_s(model, version),
+                    self._knowledge.nearly_overdue_in_s(model, version),
                 )
             )
         return engines
@@ -226,16 +228,16 @@
         report = await self._control.report(upstream)
         if report is None:
             return OrderVerdict.UNKNOWN
-        if not self._knowledge.take_report(state, report):
+        if not self._knowledge.apply_report(state, report):
             return OrderVerdict.OTHER_START
         if report.weights.get(model, 0) >= version:
             return OrderVerdict.HELD_ALREADY
         if report.busy:
             return OrderVerdict.BUSY
         # Looked at last: between this and the sending nothing is awaited.
-        if not self._lease.acting:
+        if not self._lease.is_acting:
             return OrderVerdict.REFUSED
-        self._lease.note_act()
+        self._lease.record_action()
         return await self._control.load(
             upstream,
             LoadOrder(
--- a/packages/daemon/src/lacewing_daemon/direct/_request_log.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_request_log.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class RequestEnd:
+class RequestOutcome:
     """Hold how a request ended; ``reason`` '' for an upstream's answer.
 
     ``fingerprint`` is that of all requests which ask the same.
@@ -55,21 +55,21 @@
         self._budget = LineBudget(now_s)
         self._told_s = now_s
 
-    def ended(self, end: RequestEnd, now_s: float) -> None:
+    def ended(self, end: RequestOutcome, now_s: float) -> None:
         """Tell how a request ended."""
-        if self._budget.take(end.failed, now_s):
+        if self._budget.allow(end.failed, now_s):
             event = 'Request failed.' if end.failed else 'Request answered.'
             _log.info(event, **_fields(end))
         if now_s - self._told_s < TELL_S:
             return
         self._told_s = now_s
-        left_out = self._budget.take_left_out()
+        left_out = self._budget.pop_dropped_count()
         if left_out:
             LINES_LEFT_OUT.inc(left_out)
             _log.info('Left out lines of requests.', count=left_out)
 
 
-def _fields(end: RequestEnd) -> Mapping[str, object]:
+def _fields(end: RequestOutcome) -> Mapping[str, object]:
     tries = []
     for one in end.tries:
         tries.append(msgspec.to_builtins(one))
--- a/packages/daemon/src/lacewing_daemon/direct/_copied_entries.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_restored_entries.py
@@ -23,7 +23,7 @@
     until_s: float
 
 
-class CopiedEntries(Generic[T]):
+class RestoredEntries(Generic[T]):
     """Tell which entries of a copy are older than what is known of them.
 
     A copy holds upstreams that have gone since, and configurations with keys
@@ -31,29 +31,31 @@
     writers write them again; until then what is known goes on.
 
     ``is_older(value, known)`` tells whether a value comes before a known one.
-    An entry that is still as in the copy after ``doubt_s`` is believed: its
-    writer lives, or it would have lapsed.
+    An entry that is still as in the copy after ``unverified_timeout_s`` is
+    believed: its writer lives, or it would have lapsed.
     """
 
-    def __init__(self, is_older: IsOlder[T], doubt_s: float) -> None:
+    def __init__(
+        self, is_older: IsOlder[T], unverified_timeout_s: float
+    ) -> None:
         self._is_older = is_older
-        self._doubt_s = doubt_s
+        self._doubt_s = unverified_timeout_s
         self._removed: OrderedDict[str, T] = OrderedDict()
         self._doubtful: dict[str, _Doubtful[T]] = {}
 
     @property
-    def any_doubtful(self) -> bool:
+    def any_unverified(self) -> bool:
         """Tell whether an entry has not been written again yet."""
         return bool(self._doubtful)
 
-    def note_removed(self, name: str, value: T) -> None:
+    def record_removed(self, name: str, value: T) -> None:
         """Remember an entry that was removed."""
         self._removed[name] = value
         self._removed.move_to_end(name)
         if len(self._removed) > REMOVED_KEPT:
             self._removed.popitem(last=False)
 
-    def begin(
+    def start_era(
         self, listed: Mapping[str, T], known: Mapping[str, T], now_s: float
     ) -> None:
         """Take the first list of an era."""
@@ -62,22 +64,22 @@
             if self._doubts(name, value, known.get(name)):
                 self._doubtful[name] = _Doubtful(value, now_s + self._doubt_s)
 
-    def doubts(self, name: str, value: T) -> bool:
+    def is_unverified(self, name: str, value: T) -> bool:
         """Tell whether a listed value is one that is not believed."""
         held = self._doubtful.get(name)
         return held is not None and held.value == value
 
-    def settle(self, name: str) -> None:
+    def mark_verified(self, name: str) -> None:
         """Note that an entry was written or removed in this era."""
         self._doubtful.pop(name, None)
 
-    def settle_missing(self, listed: Mapping[str, T]) -> None:
+    def discard_missing(self, listed: Mapping[str, T]) -> None:
         """Note which entries a later list of the era still holds."""
         for name in list(self._doubtful):
             if name not in listed:
                 del self._doubtful[name]
 
-    def pop_believed(self, now_s: float) -> dict[str, T]:
+    def pop_expired(self, now_s: float) -> dict[str, T]:
         """Return, once, the entries that have been doubted long enough."""
         believed = {}
         for name, held in list(self._doubtful.items()):
