--- a/packages/daemon/src/lacewing_daemon/direct/_router.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router.py
@@ -16,12 +16,11 @@
 from lacewing_daemon._signals import StopSignals
 from lacewing_daemon.direct._call import CallerRequest
 from lacewing_daemon.direct._caller_reply import CallerReply
+from lacewing_daemon.direct._caller_server import CallerServer
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._directory import Directory
 from lacewing_daemon.direct._exchange import Exchange
-from lacewing_daemon.direct._exchange import Serving
+from lacewing_daemon.direct._exchange import ServingContext
 from lacewing_daemon.direct._fleet import Fleet
-from lacewing_daemon.direct._front import Front
 from lacewing_daemon.direct._pages import metrics_page
 from lacewing_daemon.direct._pages import Page
 from lacewing_daemon.direct._pages import PageServer
@@ -32,6 +31,7 @@
 from lacewing_daemon.direct._planner import LEASE_S
 from lacewing_daemon.direct._planner import WeightsPlanner
 from lacewing_daemon.direct._request_log import RequestLog
+from lacewing_daemon.direct._routing_config import RoutingConfig
 from lacewing_daemon.direct._settings import DirectSettings
 from lacewing_daemon.direct._site import Site
 from lacewing_daemon.direct._site import Wire
@@ -67,17 +67,17 @@
         self._stopping = False
         self._fleet = Fleet(settings, site)
         if started_s is not None:
-            self._fleet.knowledge.take_start(started_s)
-        self._serving = Serving(
+            self._fleet.cluster_state.set_process_start(started_s)
+        self._serving = ServingContext(
             self._fleet,
             wire,
-            Placer(self._fleet.knowledge, settings.availability_zone),
+            Placer(self._fleet.cluster_state, settings.availability_zone),
             settings.policy,
             Random(),
             RequestLog(time.monotonic()),
         )
-        self._front = Front(wire, self._serve)
-        self._fleet.on_directory(self._take_directory)
+        self._front = CallerServer(wire, self._serve)
+        self._fleet.on_routing_config(self._take_directory)
         self._ready = PageServer(lambda: ready_page(self.ready))
         self._metrics = PageServer(self._metrics_page)
         lease = Lease(
@@ -90,7 +90,7 @@
             peek=self._fleet.store.peek,
         )
         self._planner = WeightsPlanner(
-            self._fleet.knowledge,
+            self._fleet.cluster_state,
             site.control,
             lease,
             settings.process_id,
@@ -109,13 +109,13 @@
     @property
     def configuration(self) -> int:
         """Return the version of the configuration in force, 0 for none."""
-        directory = self._fleet.knowledge.directory
+        directory = self._fleet.cluster_state.routing_config
         return 0 if directory is None else directory.version
 
     @property
     def upstream_ids(self) -> tuple[str, ...]:
         """Return the ids of all known upstreams."""
-        return tuple(self._fleet.knowledge.upstreams)
+        return tuple(self._fleet.cluster_state.upstreams)
 
     @property
     def peer_addresses(self) -> tuple[str, ...]:
@@ -124,7 +124,7 @@
 
     def weights_age_s(self, model: str) -> float:
         """Return for how long the newest weights of a model are named."""
-        return self._fleet.knowledge.named_weights(model).age_s
+        return self._fleet.cluster_state.current_release(model).age_s
 
     async def run(self) -> Exit:
         """Serve until a stop signal, then end what is open."""
@@ -172,7 +172,7 @@
     async def _drain(self) -> None:
         began_s = time.monotonic()
         end_s = began_s + self._settings.bounds.drain_s - CLOSE_S
-        self._front.announce_stop()
+        self._front.begin_drain()
         await asyncio.sleep(OUT_OF_ROTATION_S)
         self._front.stop_listening()
         while self._front.open_requests and time.monotonic() < end_s:
@@ -181,11 +181,11 @@
         self._ready.close()
         self._metrics.close()
 
-    def _take_directory(self, directory: Directory) -> None:
-        self._front.allow_idle(directory.limits.idle_s)
+    def _take_directory(self, directory: RoutingConfig) -> None:
+        self._front.set_idle_timeout(directory.limits.idle_s)
 
     def _metrics_page(self) -> Page:
-        self._fleet.measure_ages()
+        self._fleet.update_age_metrics()
         return metrics_page()
 
     def _reload(self) -> None:
@@ -195,7 +195,7 @@
         except SettingsError as error:
             _log.error('Keeps the old settings.', error=str(error))
             return
-        self._fleet.knowledge.take_bounds(settings.bounds)
+        self._fleet.cluster_state.set_bounds(settings.bounds)
         _log.info(
             'Read the settings again.',
             bounds_changed=settings.bounds != self._settings.bounds,
--- a/packages/daemon/src/lacewing_daemon/direct/_router_count.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router_count.py
@@ -17,9 +17,9 @@
 from lacewing_common.store import StoreFault
 
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._eras import StoreEras
 from lacewing_daemon.direct._metrics import ROUTERS_LIVE
-from lacewing_daemon.direct._site import OwnObjects
+from lacewing_daemon.direct._site import SystemObjects
+from lacewing_daemon.direct._store_eras import StoreEras
 
 ROUTERS = 'routers'
 # Each router renews its entry this often, and counts more often, as reads
@@ -36,7 +36,7 @@
 # writes it anew.
 REMOVE_S = 300.0
 # Taken before the first count. Too many only makes shares smaller.
-ROUTERS_ASSUMED = 8
+DEFAULT_ROUTER_COUNT = 8
 
 # What a router writes into its entry: 16 random bytes in hexadecimal, and the
 # address that other routers call, if it listens for them.
@@ -45,7 +45,7 @@
 _log = get_log(Part.MEMBERS)
 
 
-def look_s(routers: int) -> float:
+def count_interval_s(routers: int) -> float:
     """Return how often a router counts when there are so many."""
     return LOOK_S * max(1.0, routers / ROUTERS_A_LOOK)
 
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        store: OwnObjects,
+        store: SystemObjects,
         name: str,
         random: Random,
         on_count: Callable[[int], None],
@@ -81,7 +81,7 @@
     ) -> None:
         self._address = address
         self._eras = eras or StoreEras()
-        self._eras.on_return(self._take_return)
+        self._eras.on_restore(self._take_return)
         self._returned_s = float('-inf')
         self._on_count = on_count
         self._store = store
@@ -91,7 +91,7 @@
         self._version = MUST_NOT_EXIST
         self._renewed_s = float('-inf')
         self._seen: dict[str, _Seen] = {}
-        self._count = ROUTERS_ASSUMED
+        self._count = DEFAULT_ROUTER_COUNT
         self._leaving = False
         self._doubts_own = False
 
@@ -119,7 +119,7 @@
                 await self.renew()
             await self.look()
             spread = 0.75 + self._random.random() / 2
-            await asyncio.sleep(look_s(self._count) * spread)
+            await asyncio.sleep(count_interval_s(self._count) * spread)
 
     async def renew(self) -> None:
         """Write the own entry, unless this router leaves."""
--- a/packages/daemon/src/lacewing_daemon/direct/_directory.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_routing_config.py
@@ -51,7 +51,7 @@
         return self.repeatable or (self.streams and self.resumable)
 
     @property
-    def leaves_s(self) -> float:
+    def abandon_after_s(self) -> float:
         """Return after how long without an event callers leave a stream."""
         return max(
             LEAVES_S,
@@ -107,7 +107,7 @@
     engine: Engine | None = None
     kv_store: KvStore | None = None
 
-    def most_idle(self, routers: int) -> int:
+    def max_idle_connections(self, routers: int) -> int:
         """Return how many idle connections a router keeps to an upstream.
 
         Half of an upstream's connections are left to requests under way.
@@ -142,7 +142,7 @@
 
 
 @dataclass(frozen=True)
-class Directory:
+class RoutingConfig:
     """Hold one version of the whole configuration.
 
     ``teams`` maps each key to its team; None means that no keys are used.
--- a/packages/daemon/src/lacewing_daemon/direct/_send.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_send.py
@@ -49,23 +49,23 @@
 
 
 @dataclass(frozen=True)
-class Sent:
+class SendResult:
     """Hold how a send ended, and the line that is logged of it.
 
-    ``told_newer``: the upstream refused as it has newer weights, and named
-    their version.
+    ``has_newer_weights``: the upstream refused as it has newer weights, and
+    named their version.
     """
 
     end: AttemptEnd
-    tried: Try
-    told_newer: bool
+    log_entry: Try
+    has_newer_weights: bool
 
 
 class Send:
     """Send one request to one upstream once.
 
     The load that the request adds is counted until it ends, and all that
-    the answer tells of the upstream is learnt. ``may_leave`` tells whether
+    the answer tells of the upstream is learnt. ``can_move`` tells whether
     the request could be finished elsewhere, besides so many others that are
     left at the same moment. ``fingerprint`` is that of all requests which
     ask the same.
@@ -79,7 +79,7 @@
         request: CallerRequest,
         admitted: Admitted,
         target: Target,
-        may_leave: Callable[[int], bool],
+        can_move: Callable[[int], bool],
         fingerprint: str,
     ) -> None:
         self._fleet = fleet
@@ -89,31 +89,33 @@
         self._admitted = admitted
         self._target = target
         self._state = target.state
-        self._may_leave = may_leave
+        self._may_leave = can_move
         self._fingerprint = fingerprint
-        self._guard = fleet.guard
+        self._guard = fleet.crash_guard
         self._began_s = time.monotonic()
         self._first_s: float | None = None
-        self._others = self._state.others(self._began_s)
+        self._others = self._state.other_requests(self._began_s)
         self._copy_tokens = 0
         if target.copy_to is not None and request.prompt is not None:
             self._copy_tokens = request.prompt.tokens
             target.copy_to.open_copy(self._copy_tokens)
-        self._ticket = self._state.open(
-            target.read_ms, target.urgency, self._began_s
+        self._ticket = self._state.open_request(
+            target.prefill_ms, target.urgency, self._began_s
         )
 
     def unfinished(self, reason: Reason) -> Try:
         """Return the line of a send that was given up on."""
         return self._tell(AttemptEnd(Verdict.MAY_HAVE_RUN, reason))
 
-    async def run(self, relay: StreamRelay, end_s: float) -> Sent:
+    async def run(self, relay: StreamRelay, end_s: float) -> SendResult:
         """Send, pass a stream on, and return how it ended."""
         self._note_parts()
         streams = self._admitted.route.streams
 
         async def on_piece(head: ReplyHead, piece: bytes) -> None:
-            self._fleet.silence.heard(self._state, time.monotonic())
+            self._fleet.silence_detector.data_received(
+                self._state, time.monotonic()
+            )
             if self._first_s is None and self._can_go_on:
                 self._watch(attempt)
             self._begin()
@@ -129,7 +131,7 @@
             on_piece if streams else None,
         )
         self._cut = attempt.cut
-        self._guard.opened(self._fingerprint, self._cut)
+        self._guard.run_opened(self._fingerprint, self._cut)
         left_s = end_s - self._began_s
         first_wait_s = left_s
         if self._admitted.route.may_repeat:
@@ -145,22 +147,24 @@
                 self._admitted.route.may_repeat,
                 first_wait_s,
                 gap_wait_s,
-                self._admitted.service.most_idle(
-                    self._fleet.knowledge.routers
+                self._admitted.service.max_idle_connections(
+                    self._fleet.cluster_state.router_count
                 ),
                 gives_up,
             )
         finally:
-            self._guard.closed(self._fingerprint, self._cut)
-            self._fleet.silence.closed(self._state, attempt.cut)
+            self._guard.run_closed(self._fingerprint, self._cut)
+            self._fleet.silence_detector.stream_closed(
+                self._state, attempt.cut
+            )
             if self._target.copy_to is not None:
                 self._target.copy_to.close_copy(self._copy_tokens)
-            self._state.began(self._ticket)
-            self._state.closed()
+            self._state.mark_started(self._ticket)
+            self._state.close_request()
         told_newer = self._told_newer(end)
         if not told_newer:
             self._judge(end)
-        return Sent(end, self._tell(end), told_newer)
+        return SendResult(end, self._tell(end), told_newer)
 
     @property
     def _can_go_on(self) -> bool:
@@ -171,12 +175,12 @@
 
     def _watch(self, attempt: Attempt) -> None:
         route = self._admitted.route
-        self._fleet.silence.opened(
+        self._fleet.silence_detector.stream_opened(
             self._state,
             attempt.cut,
             route.may_repeat,
             route.pause_s,
-            route.leaves_s,
+            route.abandon_after_s,
             self._may_leave,
         )
 
@@ -193,36 +197,44 @@
             return True
         if begun and not self._may_leave(0):
             return False
-        if waited_s >= route.leaves_s * STREAM_LEAVES_PART:
+        if waited_s >= route.abandon_after_s * STREAM_LEAVES_PART:
             return True
-        return self._state.unheard_s(time.monotonic()) >= STREAM_SILENT_S
+        return (
+            self._state.since_last_data_s(time.monotonic()) >= STREAM_SILENT_S
+        )
 
     def _begin(self) -> None:
         """Note the first event, or the head of an answer that is none."""
         if self._first_s is not None:
             return
         self._first_s = time.monotonic()
-        self._guard.closed(self._fingerprint, self._cut)
-        self._state.began(self._ticket)
+        self._guard.run_closed(self._fingerprint, self._cut)
+        self._state.mark_started(self._ticket)
         prompt = self._request.prompt
-        if prompt is None or self._target.goes_on:
+        if prompt is None or self._target.is_continuation:
             return
-        self._placer.kept.note_read(self._target, prompt, self._first_s)
-        counted_ms = self._target.first_ms - self._target.excess_ms
+        self._placer.cached_parts.record_prefilled(
+            self._target, prompt, self._first_s
+        )
+        counted_ms = self._target.first_event_ms - self._target.lateness_ms
         took_ms = (self._first_s - self._began_s) * _MS
-        self._state.learn_first(took_ms - counted_ms, self._first_s)
+        self._state.learn_lateness(took_ms - counted_ms, self._first_s)
         learn_first_event(
             self._estimates, self._target, prompt, took_ms, boot_s()
         )
 
     @property
     def _estimates(self) -> Estimates:
-        return self._fleet.knowledge.estimates(self._admitted.service.name)
+        return self._fleet.cluster_state.estimates(self._admitted.service.name)
 
     def _learn_run(self) -> None:
         """Learn from a whole run how long a token of an answer takes."""
         prompt = self._request.prompt
-        if prompt is None or self._first_s is None or self._target.goes_on:
+        if (
+            prompt is None
+            or self._first_s is None
+            or self._target.is_continuation
+        ):
             return
         took_ms = (time.monotonic() - self._first_s) * _MS
         self._estimates.learn_run(prompt.expected_tokens, took_ms, boot_s())
@@ -232,7 +244,7 @@
         prompt = self._request.prompt
         if engine is None or prompt is None:
             return
-        self._placer.kept.note_sent(
+        self._placer.cached_parts.record_sent(
             self._target, prompt, engine, self._began_s
         )
 
@@ -243,27 +255,29 @@
             self._state.upstream.upstream_id,
             left_s,
             None if team is None else team.name,
-            target.wall,
+            target.cache_salt,
             target.weights,
             target.fetch_from,
             target.save_to,
-            target.urgency if target.wall is not None else None,
+            target.urgency if target.cache_salt is not None else None,
             after_event,
             None
             if target.copy_to is None
             else target.copy_to.upstream.address,
-            self._state.upstream.address if target.goes_on else None,
+            self._state.upstream.address if target.is_continuation else None,
         )
 
     def _learn(self, head: ReplyHead) -> None:
-        self._fleet.silence.heard(self._state, time.monotonic())
-        if not self._admitted.route.streams and head.proven:
+        self._fleet.silence_detector.data_received(
+            self._state, time.monotonic()
+        )
+        if not self._admitted.route.streams and head.authenticated:
             self._begin()
         if self._answered_by_another(head):
             # What it tells is true of itself alone.
             self._state.pause(time.monotonic(), MOVED_PAUSE_S)
             return
-        if self._state.ended:
+        if self._state.replaced:
             return
         if head.load is not None:
             self._state.learn_load(head.load, time.monotonic())
@@ -279,12 +293,12 @@
         """Learn from the end how far the upstream is to be used."""
         service = self._admitted.service.name
         ATTEMPTS.labels(service, end.verdict.value).inc()
-        if self._target.goes_on:
+        if self._target.is_continuation:
             RUNS_GONE_ON.labels(service, end.verdict.value).inc()
         now_s = time.monotonic()
         if end.verdict is Verdict.RAN:
-            self._state.succeeded()
-            self._guard.ran_well(self._fingerprint)
+            self._state.record_success()
+            self._guard.run_succeeded(self._fingerprint)
             self._learn_run()
             if self._first_s is not None:
                 FIRST_SECONDS.labels(service).observe(
@@ -292,15 +306,15 @@
                 )
             return
         if end.verdict is Verdict.MAY_HAVE_RUN:
-            self._state.failed(now_s)
+            self._state.record_failure(now_s)
             if end.broken:
                 self._report_broken(end)
             return
         if end.contact is Contact.REFUSED:
-            self._state.refused_connection(now_s)
+            self._state.record_refused_connection(now_s)
             return
         if end.contact is Contact.NONE:
-            self._state.failed(now_s)
+            self._state.record_failure(now_s)
             return
         self._state.pause(now_s, REFUSED_PAUSE_S)
 
@@ -310,7 +324,7 @@
             same=self._fingerprint,
             begun=self._first_s is not None,
         )
-        self._guard.broke(self._state.upstream, run, end.opened_s)
+        self._guard.run_broken(self._state.upstream, run, end.opened_s)
 
     def _told_newer(self, end: AttemptEnd) -> bool:
         prompt = self._request.prompt
@@ -321,7 +335,7 @@
 
     def _tell(self, end: AttemptEnd) -> Try:
         target = self._target
-        old = target.old_ms > 0
+        old = target.superseded_ms > 0
         first_ms = -1
         if self._first_s is not None:
             first_ms = int((self._first_s - self._began_s) * _MS)
@@ -331,15 +345,15 @@
             reason='' if end.verdict is Verdict.RAN else end.reason.value,
             ms=int((time.monotonic() - self._began_s) * _MS),
             status=0 if end.head is None else end.head.status,
-            expected_ms=int(target.first_ms),
-            waits_ms=int(target.waits_ms),
+            expected_ms=int(target.first_event_ms),
+            waits_ms=int(target.wait_ms),
             others=self._others,
             weights=target.weights or 0,
-            named=target.named if old else 0,
-            old_ms=int(target.old_ms),
+            named=target.released_version if old else 0,
+            old_ms=int(target.superseded_ms),
             first_ms=first_ms,
             tokens_per_ms=round(target.tokens_per_ms, 1),
-            went_on=target.goes_on,
+            went_on=target.is_continuation,
             copy=_id_of(target.copy_to),
         )
 
--- a/packages/daemon/src/lacewing_daemon/direct/_silence.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
@@ -10,11 +10,11 @@
 from lacewing_common.log import Part
 
 from lacewing_daemon.direct._metrics import UPSTREAMS_SILENT
-from lacewing_daemon.direct._pace import SILENCE_MARGIN
+from lacewing_daemon.direct._silence_history import SILENCE_MARGIN
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
 # How often open streams are looked at.
-LOOK_S = 0.04
+CHECK_INTERVAL_S = 0.04
 # A stream is left when so much of the pause that its route allows is over;
 # what is left brings the next event from elsewhere: 220 ms of 250 ms were
 # taken where engines that live are silent for 175 ms.
@@ -39,18 +39,17 @@
 class WatchedStream:
     """Hold what is watched of a stream that has begun.
 
-    ``cut`` breaks it off. ``may_repeat``: it may begin again elsewhere; it
-    has a copy else. ``pause_s``: the pause between two events that its
-    route allows, 0 if it tells none; ``leaves_s``: the one after which its
-    caller leaves. ``may_leave`` tells whether it could be finished
-    elsewhere.
+    ``cut`` breaks it off. ``may_repeat``: it may begin again elsewhere; it has
+    a copy else. ``pause_s``: the pause between two events that its route
+    allows, 0 if it tells none; ``abandon_after_s``: the one after which its
+    caller leaves. ``can_move`` tells whether it could be finished elsewhere.
     """
 
     cut: Cut
     may_repeat: bool
     pause_s: float
-    leaves_s: float
-    may_leave: Callable[[int], bool]
+    abandon_after_s: float
+    can_move: Callable[[int], bool]
 
     def mute_s(self, least_s: float, silence_s: float) -> float:
         """Return the silence of its upstream after which it is left.
@@ -60,7 +59,7 @@
         usual_s = max(
             least_s, self.pause_s * PAUSE_PART, silence_s * SILENCE_MARGIN
         )
-        mute_s = min(usual_s, max(least_s, self.leaves_s * LEAVES_PART))
+        mute_s = min(usual_s, max(least_s, self.abandon_after_s * LEAVES_PART))
         return mute_s if self.may_repeat else mute_s * ONCE_PATIENCE
 
 
@@ -68,7 +67,7 @@
     return True
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Know the begun streams of each upstream and when it was last heard.
 
     An engine gives all its streams their next events together, every few
@@ -92,20 +91,22 @@
         self._any_heard_s = 0.0
         self._cut_off_s = 0.0
 
-    def opened(
+    def stream_opened(
         self,
         state: UpstreamState,
         cut: Cut,
         may_repeat: bool,
         pause_s: float = 0.0,
-        leaves_s: float = USUAL_LEAVES_S,
-        may_leave: Callable[[int], bool] = _always,
+        abandon_after_s: float = USUAL_LEAVES_S,
+        can_move: Callable[[int], bool] = _always,
     ) -> None:
         """Watch a stream that has begun."""
-        stream = WatchedStream(cut, may_repeat, pause_s, leaves_s, may_leave)
+        stream = WatchedStream(
+            cut, may_repeat, pause_s, abandon_after_s, can_move
+        )
         self._open.setdefault(state, {})[cut] = stream
 
-    def closed(self, state: UpstreamState, cut: Cut) -> None:
+    def stream_closed(self, state: UpstreamState, cut: Cut) -> None:
         """Forget a stream; it may never have begun."""
         streams = self._open.get(state)
         if streams is None:
@@ -115,13 +116,13 @@
         if not streams:
             del self._open[state]
 
-    def heard(self, state: UpstreamState, now_s: float) -> None:
+    def data_received(self, state: UpstreamState, now_s: float) -> None:
         """Note that an upstream was heard; a silence that ended is learnt."""
         if now_s - self._any_heard_s >= self._mute_s:
             self._cut_off_s = now_s
         self._any_heard_s = now_s
-        silent_s = state.unheard_s(now_s)
-        state.heard(now_s)
+        silent_s = state.since_last_data_s(now_s)
+        state.data_received(now_s)
         if silent_s * SILENCE_MARGIN < self._mute_s:
             return
         was_left = state in self._left
@@ -131,24 +132,24 @@
         if self._cut_off_s <= now_s - silent_s:
             # All upstreams together were not silent meanwhile, as behind a
             # full link of this router's own.
-            state.pace.learn_silence(silent_s, now_s)
+            state.silence_history.record(silent_s, now_s)
 
     async def run(self) -> None:
         """Look at all streams until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.look(time.monotonic())
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.check(time.monotonic())
 
-    def look(self, now_s: float) -> None:
+    def check(self, now_s: float) -> None:
         """Break off the streams of upstreams that are silent."""
         left = 0
         for state, streams in list(self._open.items()):
-            silent_s = state.unheard_s(now_s)
+            silent_s = state.since_last_data_s(now_s)
             if len(streams) < LEAST_STREAMS or silent_s < self._mute_s:
                 continue
             if not self._hears_others(state, now_s):
                 continue
-            silence_s = state.pace.silence_s(now_s)
+            silence_s = state.silence_history.usual_silence_s(now_s)
             due: list[Cut] = []
             for stream in list(streams.values()):
                 if silent_s < stream.mute_s(self._mute_s, silence_s):
@@ -164,7 +165,7 @@
     ) -> bool:
         if now_s < self._kept_until_s.get(stream.cut, 0.0):
             return False
-        if stream.may_leave(others):
+        if stream.can_move(others):
             return True
         self._kept_until_s[stream.cut] = now_s + ASK_AGAIN_S
         return False
@@ -173,7 +174,7 @@
         for state in self._open:
             if state is silent:
                 continue
-            if state.unheard_s(now_s) < self._mute_s:
+            if state.since_last_data_s(now_s) < self._mute_s:
                 return True
         return False
 
--- a/packages/daemon/src/lacewing_daemon/direct/_pace.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_silence_history.py
@@ -12,7 +12,7 @@
 _MOST_KEPT = 64
 
 
-class Pace:
+class SilenceHistory:
     """Hold the silences of engines that were heard again afterwards.
 
     An engine reads waiting prompts between the events of its streams. How
@@ -26,11 +26,11 @@
     def __init__(self) -> None:
         self._silences: deque[tuple[float, float]] = deque(maxlen=_MOST_KEPT)
 
-    def learn_silence(self, silent_s: float, now_s: float) -> None:
+    def record(self, silent_s: float, now_s: float) -> None:
         """Take a silence of an engine that was heard again."""
         self._silences.append((now_s, silent_s))
 
-    def silence_s(self, now_s: float) -> float:
+    def usual_silence_s(self, now_s: float) -> float:
         """Return how long engines that live are silent, 0 if unknown.
 
         The longest of all is left out: a single one may be that of a link.
--- a/packages/daemon/src/lacewing_daemon/direct/_site.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_site.py
@@ -16,8 +16,8 @@
 from tornado.httputil import HTTPHeaders
 
 from lacewing_daemon.direct._call import CallerRequest
-from lacewing_daemon.direct._directory import Directory
-from lacewing_daemon.direct._upstream import NamedWeights
+from lacewing_daemon.direct._routing_config import RoutingConfig
+from lacewing_daemon.direct._upstream import ReleasedWeights
 from lacewing_daemon.direct._upstream import Upstream
 
 T = TypeVar('T')
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class HistoryGone:
+class HistoryExpired:
     """Report that changes were forgotten: the collection is read anew."""
 
     message: str
@@ -74,7 +74,7 @@
 
     async def changes(
         self, since: int, wait_s: float
-    ) -> Changes[T] | HistoryGone | StoreError:
+    ) -> Changes[T] | HistoryExpired | StoreError:
         """Wait up to ``wait_s`` for changes after a revision."""
 
 
@@ -146,7 +146,7 @@
         """Order an upstream to load weights."""
 
 
-class OwnObjects(SingleObjects, Protocol):
+class SystemObjects(SingleObjects, Protocol):
     """Keep the system's own objects."""
 
     async def peek(self, kind: str, name: str) -> StoredObject | StoreError:
@@ -167,7 +167,7 @@
     """Hold all that the platform keeps for the system."""
 
     @property
-    def directories(self) -> Collection[Directory]:
+    def routing_configs(self) -> Collection[RoutingConfig]:
         """Return the configuration; one entry."""
 
     @property
@@ -175,14 +175,14 @@
         """Return the upstreams that registered themselves."""
 
     @property
-    def weights(self) -> Collection[NamedWeights]:
+    def weights(self) -> Collection[ReleasedWeights]:
         """Return the versions of weights that operators named."""
 
-    def own_texts(self, kind: str) -> Collection[str]:
+    def system_texts(self, kind: str) -> Collection[str]:
         """Return the system's own objects of a kind, to be followed."""
 
     @property
-    def store(self) -> OwnObjects:
+    def store(self) -> SystemObjects:
         """Return the object store for the system's own objects."""
 
     @property
@@ -194,26 +194,26 @@
 class Dispatch:
     """Hold what is told to an upstream beside a caller's request.
 
-    ``deadline_s`` is what is left of the request's time. ``cache_wall``
+    ``deadline_s`` is what is left of the request's time. ``cache_salt``
     separates KV cache that must not be shared. ``weights`` is the version
     that the upstream must have. ``fetch_from`` and ``save_to`` are
     addresses of KV caches. ``urgency`` is 0 (first) to 9. ``copy_to`` is
     the address of an upstream that keeps a copy of the run's memory as it
-    grows. ``go_on_from`` is that address when the run goes on there, after
+    grows. ``continue_from`` is that address when the run goes on there, after
     ``after_event``.
     """
 
     upstream_id: str
     deadline_s: float
     team: str | None = None
-    cache_wall: str | None = None
+    cache_salt: str | None = None
     weights: int | None = None
     fetch_from: str | None = None
     save_to: str | None = None
     urgency: int | None = None
     after_event: int | None = None
     copy_to: str | None = None
-    go_on_from: str | None = None
+    continue_from: str | None = None
 
 
 @dataclass(frozen=True)
@@ -231,7 +231,7 @@
 
     ``not_run``: the upstream says that it did not run the request.
     ``other_upstream``: another incarnation answered, and ran nothing.
-    ``proven``: the answer carries the upstream's signature.
+    ``authenticated``: the answer carries the upstream's signature.
     ``answered_by`` is the id of the upstream that answered, '' if not told.
     """
 
@@ -239,9 +239,9 @@
     request_id: str
     not_run: bool
     misdirected: bool
-    proven: bool
+    authenticated: bool
     closing: bool
-    keep_s: float | None
+    keep_alive_s: float | None
     load: UpstreamLoad | None
     weights: int | None
     retry_after_s: float | None
--- a/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
@@ -10,9 +10,9 @@
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
 
-from lacewing_daemon.direct._eras import StoreEras
 from lacewing_daemon.direct._metrics import STORE_CALLS
-from lacewing_daemon.direct._site import OwnObjects
+from lacewing_daemon.direct._site import SystemObjects
+from lacewing_daemon.direct._store_eras import StoreEras
 
 # One line in so long tells where calls come from and stays out of the way
 # of the lines on requests, of which there are some a second.
@@ -38,7 +38,7 @@
     WRITE = 'write'
 
 
-class StoreCalls:
+class StoreCallCounter:
     """Hold how many calls were made since they were last logged.
 
     Each call has its price, and all routers share what the store answers a
@@ -54,12 +54,12 @@
         """Return the calls since the last line, by subject and reason."""
         return self._counts
 
-    def note(self, subject: str, reason: CallReason) -> None:
+    def count(self, subject: str, reason: CallReason) -> None:
         """Count one call."""
         STORE_CALLS.labels(subject, reason.value).inc()
         self._counts[f'{subject}.{reason.value}'] += 1
 
-    def tell(self) -> None:
+    def log_counts(self) -> None:
         """Log the counts and begin anew."""
         if not self._counts:
             return
@@ -72,14 +72,14 @@
         """Log the counts from time to time until cancelled."""
         while True:
             await asyncio.sleep(TELL_S)
-            self.tell()
+            self.log_counts()
 
 
-class CountedObjects:
+class InstrumentedObjects:
     """Keep the system's own objects; count the calls and note the era."""
 
     def __init__(
-        self, objects: OwnObjects, calls: StoreCalls, eras: StoreEras
+        self, objects: SystemObjects, calls: StoreCallCounter, eras: StoreEras
     ) -> None:
         self._objects = objects
         self._calls = calls
@@ -87,32 +87,32 @@
 
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
         """Read one object."""
-        self._calls.note(kind, CallReason.GET)
+        self._calls.count(kind, CallReason.GET)
         return self._noted(await self._objects.get(kind, name))
 
     async def peek(self, kind: str, name: str) -> StoredObject | StoreError:
         """Read one object cheaply; it may be seconds old."""
-        self._calls.note(kind, CallReason.PEEK)
+        self._calls.count(kind, CallReason.PEEK)
         return self._noted(await self._objects.peek(kind, name))
 
     async def peek_all(
         self, kind: str
     ) -> tuple[StoredObject, ...] | StoreError:
         """Read all objects of a kind cheaply; they may be seconds old."""
-        self._calls.note(kind, CallReason.PEEK)
+        self._calls.count(kind, CallReason.PEEK)
         answer = await self._objects.peek_all(kind)
         if isinstance(answer, StoreError):
-            self._eras.take(answer.era)
+            self._eras.observe(answer.era)
             return answer
         for found in answer:
-            self._eras.take(found.era)
+            self._eras.observe(found.era)
         return answer
 
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
         """Write an object if its version is ``expect``."""
-        self._calls.note(kind, CallReason.WRITE)
+        self._calls.count(kind, CallReason.WRITE)
         answer = await self._objects.put(kind, name, value, expect)
         return self._noted(answer)
 
@@ -120,14 +120,14 @@
         self, kind: str, name: str, expect: int
     ) -> None | StoreError:
         """Delete an object if its version is ``expect``."""
-        self._calls.note(kind, CallReason.WRITE)
+        self._calls.count(kind, CallReason.WRITE)
         answer = await self._objects.delete(kind, name, expect)
         if answer is not None:
-            self._eras.take(answer.era)
+            self._eras.observe(answer.era)
         return answer
 
     def _noted(
         self, answer: StoredObject | StoreError
     ) -> StoredObject | StoreError:
-        self._eras.take(answer.era)
+        self._eras.observe(answer.era)
         return answer
--- a/packages/daemon/src/lacewing_daemon/direct/_eras.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_store_eras.py
@@ -28,11 +28,11 @@
         """Return the newest era, 0 while none is told."""
         return self._current
 
-    def on_return(self, callback: Callable[[], None]) -> None:
+    def on_restore(self, callback: Callable[[], None]) -> None:
         """Call back when the store has returned from a copy."""
         self._callbacks.append(callback)
 
-    def take(self, era: int) -> None:
+    def observe(self, era: int) -> None:
         """Take the era that an answer told; 0 and older ones say nothing."""
         if era <= self._current:
             return
--- a/packages/daemon/src/lacewing_daemon/direct/_target.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_target.py
@@ -16,29 +16,29 @@
 class Target:
     """Hold the upstream of one attempt and what it is told.
 
-    ``first_ms``: when a first event is expected, of which ``waits_ms`` for
-    what waits there, ``excess_ms`` of these by how late others came.
-    ``named``: the version of the weights that was named last, 0 for none;
-    ``old_ms``: for how long a newer version than ``weights`` was named.
-    ``copy_to`` keeps a copy of the run's memory; ``goes_on``: the run is
-    continued from such a copy. ``is_first``: the prompt's own part was not
-    sent there lately; ``tokens_per_ms``: how fast prompts are read.
+    ``first_event_ms``: when a first event is expected, of which ``wait_ms``
+    for what waits there, ``lateness_ms`` of these by how late others came.
+    ``released_version``: the version of the weights that was named last, 0 for
+    none; ``superseded_ms``: for how long a newer version than ``weights`` was
+    named. ``copy_to`` keeps a copy of the run's memory; ``is_continuation``:
+    the run is continued from such a copy. ``is_first``: the prompt's own part
+    was not sent there lately; ``tokens_per_ms``: how fast prompts are read.
     """
 
     state: UpstreamState
-    read_ms: float
-    wall: str | None = None
+    prefill_ms: float
+    cache_salt: str | None = None
     weights: int | None = None
     fetch_from: str | None = None
     save_to: str | None = None
     urgency: int = USUAL_URGENCY
-    first_ms: float = 0.0
-    waits_ms: float = 0.0
-    excess_ms: float = 0.0
-    named: int = 0
-    old_ms: float = 0.0
+    first_event_ms: float = 0.0
+    wait_ms: float = 0.0
+    lateness_ms: float = 0.0
+    released_version: int = 0
+    superseded_ms: float = 0.0
     copy_to: UpstreamState | None = None
-    goes_on: bool = False
+    is_continuation: bool = False
     is_first: bool = False
     tokens_per_ms: float = 0.0
 
--- a/packages/daemon/src/lacewing_daemon/direct/_upstream.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_upstream.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class NamedWeights:
+class ReleasedWeights:
     """Hold the version of a model's weights that operators named last."""
 
     model: str
--- a/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
@@ -5,8 +5,8 @@
 from math import exp
 
 from lacewing_daemon.direct._call import Prompt
-from lacewing_daemon.direct._directory import Engine
-from lacewing_daemon.direct._pace import Pace
+from lacewing_daemon.direct._routing_config import Engine
+from lacewing_daemon.direct._silence_history import SilenceHistory
 from lacewing_daemon.direct._site import UpstreamLoad
 from lacewing_daemon.direct._upstream import Upstream
 
@@ -40,10 +40,10 @@
 
 
 @dataclass(frozen=True, eq=False)
-class Ticket:
+class OpenRequest:
     """Hold what one open request adds to an upstream's load."""
 
-    read_ms: float
+    prefill_ms: float
     urgency: int
     sent_s: float
 
@@ -51,17 +51,21 @@
 class UpstreamState:
     """Track one incarnation of an upstream.
 
-    ``pace`` is that of its service, learnt from all its upstreams.
+    ``silence_history`` is that of its service, learnt from all its upstreams.
     """
 
-    def __init__(self, upstream: Upstream, pace: Pace | None = None) -> None:
+    def __init__(
+        self, upstream: Upstream, silence_history: SilenceHistory | None = None
+    ) -> None:
         self._upstream = upstream
-        self._pace = Pace() if pace is None else pace
+        self._pace = (
+            SilenceHistory() if silence_history is None else silence_history
+        )
         self._ended = False
         self._in_flight = 0
         self._sent_s = 0.0
         self._heard_s = 0.0
-        self._waiting: set[Ticket] = set()
+        self._waiting: set[OpenRequest] = set()
         self._weights = dict(upstream.weights)
         self._told: UpstreamLoad | None = None
         self._told_s = 0.0
@@ -79,12 +83,12 @@
         return self._upstream
 
     @property
-    def ended(self) -> bool:
+    def replaced(self) -> bool:
         """Tell whether the upstream has started again since."""
         return self._ended
 
     @property
-    def pace(self) -> Pace:
+    def silence_history(self) -> SilenceHistory:
         """Return the pace of its service's upstreams."""
         return self._pace
 
@@ -93,11 +97,11 @@
         """Return this router's open requests there."""
         return self._in_flight
 
-    def unused_s(self, now_s: float) -> float:
+    def idle_s(self, now_s: float) -> float:
         """Return the time since a request was sent there."""
         return now_s - self._sent_s
 
-    def waiting(self, urgency: int) -> int:
+    def waiting_count(self, urgency: int) -> int:
         """Return those without a first event that go before an urgency."""
         count = 0
         for ticket in self._waiting:
@@ -105,7 +109,7 @@
                 count += 1
         return count
 
-    def waiting_ms(self, urgency: int, tokens_per_ms: float) -> float:
+    def queued_prefill_ms(self, urgency: int, tokens_per_ms: float) -> float:
         """Return the reading that goes before a request of an urgency.
 
         Of what is less urgent at most the piece that is being read.
@@ -114,9 +118,9 @@
         after_ms = 0.0
         for ticket in self._waiting:
             if ticket.urgency <= urgency:
-                before_ms += ticket.read_ms
+                before_ms += ticket.prefill_ms
             else:
-                after_ms += ticket.read_ms
+                after_ms += ticket.prefill_ms
         return before_ms + min(after_ms, PIECE_TOKENS / 2 / tokens_per_ms)
 
     def update(self, upstream: Upstream) -> None:
@@ -137,7 +141,7 @@
                 continue
             self.learn_weights(model, version)
 
-    def end(self) -> None:
+    def mark_replaced(self) -> None:
         """Note that the upstream has started again, under another state.
 
         Requests that are still open there go on counting here, and nothing
@@ -145,13 +149,13 @@
         """
         self._ended = True
 
-    def usable(self, now_s: float) -> bool:
+    def is_usable(self, now_s: float) -> bool:
         """Tell whether requests may be sent there now."""
         if self._ended or self._upstream.leaving:
             return False
         return now_s >= self._shunned_until_s
 
-    def silent(self, now_s: float) -> bool:
+    def is_silent(self, now_s: float) -> bool:
         """Tell whether requests wait there and nothing at all is heard.
 
         An upstream that lost its power answers nothing, and a request that
@@ -163,19 +167,19 @@
         if not self._waiting:
             return False
         oldest_s = min(
-            ticket.sent_s + ticket.read_ms / _MS for ticket in self._waiting
+            ticket.sent_s + ticket.prefill_ms / _MS for ticket in self._waiting
         )
         silent_s = now_s - max(oldest_s, self._heard_s)
         if silent_s <= SILENT_S:
             return False
-        usual_s = self._pace.silence_s(now_s) * SILENT_TIMES
+        usual_s = self._pace.usual_silence_s(now_s) * SILENT_TIMES
         return silent_s > min(usual_s, MOST_SILENT_S)
 
-    def unheard_s(self, now_s: float) -> float:
+    def since_last_data_s(self, now_s: float) -> float:
         """Return the time since anything came from the upstream."""
         return now_s - self._heard_s
 
-    def heard(self, now_s: float) -> None:
+    def data_received(self, now_s: float) -> None:
         """Note that anything came from the upstream."""
         self._heard_s = now_s
 
@@ -194,7 +198,7 @@
         self._told_s = now_s
         self._told_own = self._in_flight
 
-    def excess_ms(self, now_s: float) -> float:
+    def lateness_ms(self, now_s: float) -> float:
         """Return how much later than counted first events come of late.
 
         What other routers sent there is only known once an answer tells of
@@ -205,39 +209,41 @@
         age_s = max(0.0, now_s - self._excess_s)
         return self._excess_ms * exp(-age_s / EXCESS_FADES_S)
 
-    def learn_first(self, late_ms: float, now_s: float) -> None:
+    def learn_lateness(self, late_ms: float, now_s: float) -> None:
         """Take by how much a first event came later than counted."""
         seen_ms = min(MOST_EXCESS_MS, max(0.0, late_ms))
-        before_ms = self.excess_ms(now_s)
+        before_ms = self.lateness_ms(now_s)
         self._excess_ms = before_ms + (seen_ms - before_ms) * EXCESS_WEIGHT
         self._excess_s = now_s
 
-    def others(self, now_s: float) -> int:
+    def other_requests(self, now_s: float) -> int:
         """Return other routers' open requests there, by its last word."""
         if self._told is None or now_s - self._told_s > TOLD_FRESH_S:
             return 0
         told = self._told.running + self._told.waiting
         return max(0, told - self._told_own)
 
-    def others_waiting(self, now_s: float) -> int:
+    def other_waiting(self, now_s: float) -> int:
         """Return requests waiting there beyond this router's own."""
         if self._told is None or now_s - self._told_s > TOLD_FRESH_S:
             return 0
         return max(0, self._told.waiting - len(self._waiting))
 
-    def open(self, read_ms: float, urgency: int, now_s: float) -> Ticket:
+    def open_request(
+        self, prefill_ms: float, urgency: int, now_s: float
+    ) -> OpenRequest:
         """Count a request that is sent there."""
         self._in_flight += 1
         self._sent_s = now_s
-        ticket = Ticket(read_ms, urgency, now_s)
+        ticket = OpenRequest(prefill_ms, urgency, now_s)
         self._waiting.add(ticket)
         return ticket
 
-    def began(self, ticket: Ticket) -> None:
+    def mark_started(self, ticket: OpenRequest) -> None:
         """Count that a request got its first event or its answer."""
         self._waiting.discard(ticket)
 
-    def closed(self) -> None:
+    def close_request(self) -> None:
         """Count that a request has ended."""
         self._in_flight -= 1
 
@@ -254,11 +260,11 @@
         """Count that a run of which a copy was kept here has ended."""
         self._copy_tokens -= tokens
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Forget failures: the upstream answers."""
         self._failures = 0
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Count a failure; several in a row shun the upstream."""
         self._failures += 1
         excess = self._failures - FAILURES_TO_SHUN
@@ -266,14 +272,14 @@
             pause_s = min(SHUN_CAP_S, SHUN_BASE_S * 2**excess)
             self.pause(now_s, pause_s)
 
-    def refused_connection(self, now_s: float) -> None:
+    def record_refused_connection(self, now_s: float) -> None:
         """Count a failure and leave the upstream alone: it has ended.
 
         Its entry goes only after its heartbeats have been missed for some
         seconds. Where three failures were awaited, each router sent as many
         requests to each crashed engine.
         """
-        self.failed(now_s)
+        self.record_failure(now_s)
         self.pause(now_s, SHUN_BASE_S)
 
     def pause(self, now_s: float, pause_s: float) -> None:
@@ -281,7 +287,7 @@
         until_s = now_s + pause_s
         self._shunned_until_s = max(self._shunned_until_s, until_s)
 
-    def remember(
+    def record_parts(
         self, wall: str, prompt: Prompt, engine: Engine, now_s: float
     ) -> None:
         """Note the parts of a prompt as held there."""
@@ -297,12 +303,12 @@
         """Return the tokens of a prompt from its first part not held on."""
         missing = prompt.tokens
         for part in prompt.parts:
-            if not self.holds(wall, part.part_id, now_s):
+            if not self.has_part(wall, part.part_id, now_s):
                 break
             missing -= part.tokens
         return max(0, missing)
 
-    def holds(self, wall: str, part_id: str, now_s: float) -> bool:
+    def has_part(self, wall: str, part_id: str, now_s: float) -> bool:
         """Tell whether a part was sent there lately."""
         seen_s = self._held.get((wall, part_id))
         return seen_s is not None and now_s - seen_s <= HELD_S
--- a/packages/daemon/src/lacewing_daemon/direct/_namings.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_weights_releases.py
@@ -9,11 +9,11 @@
 # Older namings closer together than this count as one, at the time of the
 # first, so that few are kept however fast versions are named. The time for
 # new weights is some seconds.
-NAMINGS_APART_S = 0.1
+RELEASE_MERGE_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True)
-class NamedVersion:
+class ReleaseAge:
     """Hold a version of weights (0: none) and how long ago it was named."""
 
     version: int
@@ -21,16 +21,16 @@
 
 
 @dataclass(frozen=True)
-class Naming:
+class WeightsRelease:
     """Hold a version of weights and when it was named."""
 
     version: int
-    since_s: float
+    released_s: float
 
 
-def with_naming(
-    known: Sequence[Naming], taken: Naming, limit_s: float
-) -> tuple[Naming, ...]:
+def add_release(
+    known: Sequence[WeightsRelease], taken: WeightsRelease, limit_s: float
+) -> tuple[WeightsRelease, ...]:
     """Return the namings that matter once a newer one is taken.
 
     Each version has ``limit_s`` of its own. Counted from the newest naming
@@ -38,17 +38,21 @@
     no orders would be used for as long as versions come. Of those whose
     time is used up the newest one matters.
     """
-    kept: list[Naming] = []
+    kept: list[WeightsRelease] = []
     for naming in known:
-        if taken.since_s - naming.since_s > limit_s:
+        if taken.released_s - naming.released_s > limit_s:
             kept.clear()
-        if kept and naming.since_s - kept[-1].since_s < NAMINGS_APART_S:
-            naming = Naming(naming.version, kept.pop().since_s)
+        if (
+            kept
+            and naming.released_s - kept[-1].released_s
+            < RELEASE_MERGE_INTERVAL_S
+        ):
+            naming = WeightsRelease(naming.version, kept.pop().released_s)
         kept.append(naming)
     return (*kept, taken)
 
 
-def floor_of(namings: Sequence[NamedVersion], limit_s: float) -> int:
+def min_allowed_version(namings: Sequence[ReleaseAge], limit_s: float) -> int:
     """Return the newest version whose time is used up, 0 for none.
 
     Nothing may begin on older weights than these.
@@ -60,7 +64,7 @@
     return floor
 
 
-def superseded_s(namings: Sequence[NamedVersion], version: int) -> float:
+def superseded_for_s(namings: Sequence[ReleaseAge], version: int) -> float:
     """Return for how long a newer version is named, 0 if none is."""
     ages = [one.age_s for one in namings if one.version > version]
     return max(ages, default=0.0)
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/__init__.py
@@ -1,15 +1,15 @@
 """Find out which requests crash the upstreams that run them."""
 
 from lacewing_daemon.direct.crashes._guard import CrashGuard
-from lacewing_daemon.direct.crashes._ledger import CrashLedger
 from lacewing_daemon.direct.crashes._record import CrashRecord
-from lacewing_daemon.direct.crashes._record import Start
 from lacewing_daemon.direct.crashes._record import Suspect
+from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
+from lacewing_daemon.direct.crashes._registry import CrashRegistry
 
 __all__ = [
     'CrashGuard',
-    'CrashLedger',
+    'CrashRegistry',
     'CrashRecord',
-    'Start',
+    'UpstreamIncarnation',
     'Suspect',
 ]
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_stored.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_crash_store.py
@@ -18,13 +18,13 @@
 from lacewing_common.store import StoreFault
 
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._eras import StoreEras
-from lacewing_daemon.direct._followed import Followed
-from lacewing_daemon.direct._site import OwnObjects
-from lacewing_daemon.direct.crashes._ledger import COUNTS_S
-from lacewing_daemon.direct.crashes._ledger import MOST_CRASHES
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
+from lacewing_daemon.direct._site import SystemObjects
+from lacewing_daemon.direct._store_eras import StoreEras
 from lacewing_daemon.direct.crashes._record import CrashRecord
-from lacewing_daemon.direct.crashes._record import Start
+from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
+from lacewing_daemon.direct.crashes._registry import CRASH_TTL_S
+from lacewing_daemon.direct.crashes._registry import MAX_CRASHES
 
 CRASHES = 'crashes'
 # A write that failed is made again after this; while the store is lost, once
@@ -55,7 +55,7 @@
     at_s: float
 
 
-class StoredCrashes:
+class CrashStore:
     """Write records and remove them when they count no more.
 
     Each router writes what it saw itself; the collection is followed by all.
@@ -63,8 +63,8 @@
 
     def __init__(
         self,
-        store: OwnObjects,
-        followed: Followed[str],
+        store: SystemObjects,
+        followed: CollectionWatcher[str],
         process_id: str,
         random: Random,
         eras: StoreEras,
@@ -75,19 +75,21 @@
         self._process_id = process_id
         self._random = random
         self._clock = clock
-        self._due: dict[Start, CrashRecord] = {}
-        self._written: OrderedDict[Start, _Written] = OrderedDict()
+        self._due: dict[UpstreamIncarnation, CrashRecord] = {}
+        self._written: OrderedDict[UpstreamIncarnation, _Written] = (
+            OrderedDict()
+        )
         self._heard_s: dict[str, float] = {}
         self._wakes = asyncio.Event()
         followed.on_change(self._note)
-        eras.on_return(self._write_again)
+        eras.on_restore(self._write_again)
 
-    def store(self, record: CrashRecord) -> None:
+    def save(self, record: CrashRecord) -> None:
         """Write a record of this router's, once."""
         if record.start in self._written:
             return
         self._written[record.start] = _Written(record, self._clock())
-        if len(self._written) > MOST_CRASHES:
+        if len(self._written) > MAX_CRASHES:
             self._written.popitem(last=False)
         self._due[record.start] = record
         self._wakes.set()
@@ -105,14 +107,14 @@
         """Remove what counts no more until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_S * self._random.uniform(0.5, 1.5))
-            oldest_s = self._clock() - COUNTS_S
+            oldest_s = self._clock() - CRASH_TTL_S
             for name, heard_s in list(self._heard_s.items()):
                 if heard_s < oldest_s:
                     await self._remove(name)
 
     def _write_again(self) -> None:
         """Write what the store may have lost; what it has is a conflict."""
-        oldest_s = self._clock() - COUNTS_S
+        oldest_s = self._clock() - CRASH_TTL_S
         for start, written in self._written.items():
             if written.at_s < oldest_s:
                 continue
@@ -120,12 +122,12 @@
         self._wakes.set()
 
     async def _rest(self) -> None:
-        if self._followed.lost:
-            await self._followed.found_again(LOST_AGAIN_S)
+        if self._followed.disconnected:
+            await self._followed.wait_reconnected(LOST_AGAIN_S)
             return
         await asyncio.sleep(AGAIN_S)
 
-    async def _write(self, start: Start) -> bool:
+    async def _write(self, start: UpstreamIncarnation) -> bool:
         """Return whether nothing more has to be done for a record."""
         record = self._due[start]
         name = f'{start.upstream_id}.{start.started_ms}.{start.again}'
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_witness.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_detector.py
@@ -14,19 +14,19 @@
 from lacewing_daemon.direct._metrics import UPSTREAM_CRASHES
 from lacewing_daemon.direct._upstream import Upstream
 from lacewing_daemon.direct.crashes._record import CrashRecord
-from lacewing_daemon.direct.crashes._record import Start
 from lacewing_daemon.direct.crashes._record import Suspect
+from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
 
 # The connections of a process that ended are reset together; each router
 # reads the resets of its runs within this time.
-GATHER_S = 0.02
+COLLECT_WINDOW_S = 0.02
 # Of a crash some tens of runs are told, those without an event first.
 MOST_RUNS = 64
 
 _log = get_log(Part.LINK)
 
 
-class CrashWitness:
+class CrashDetector:
     """Tell a crashed upstream from one that broke one answer off.
 
     A connection that is reset or closed too soon looks the same in both
@@ -41,10 +41,12 @@
     ) -> None:
         self._reached = reached
         self._on_crash = on_crash
-        self._broken: dict[Start, list[BrokenRun]] = {}
+        self._broken: dict[UpstreamIncarnation, list[BrokenRun]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def broke(self, upstream: Upstream, start: Start, run: BrokenRun) -> None:
+    def run_broken(
+        self, upstream: Upstream, start: UpstreamIncarnation, run: BrokenRun
+    ) -> None:
         """Note that a start of an upstream broke a run off."""
         if upstream.leaving:
             # It ends on purpose, whatever it runs.
@@ -62,8 +64,10 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _look(self, upstream: Upstream, start: Start) -> None:
-        await asyncio.sleep(GATHER_S)
+    async def _look(
+        self, upstream: Upstream, start: UpstreamIncarnation
+    ) -> None:
+        await asyncio.sleep(COLLECT_WINDOW_S)
         reached = await self._reached(upstream)
         runs = self._broken.pop(start)
         if reached is Contact.MADE:
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_news.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_gossip.py
@@ -17,14 +17,14 @@
 from lacewing_common.settings import parse_address
 
 from lacewing_daemon.direct._metrics import CRASH_NEWS
-from lacewing_daemon.direct.crashes._ledger import CrashLedger
 from lacewing_daemon.direct.crashes._messages import COMPARE_METHOD
-from lacewing_daemon.direct.crashes._messages import Compared
-from lacewing_daemon.direct.crashes._messages import Differences
+from lacewing_daemon.direct.crashes._messages import CompareReply
+from lacewing_daemon.direct.crashes._messages import CompareRequest
+from lacewing_daemon.direct.crashes._messages import CrashReport
+from lacewing_daemon.direct.crashes._messages import CrashReportAck
 from lacewing_daemon.direct.crashes._messages import TELL_METHOD
-from lacewing_daemon.direct.crashes._messages import Told
-from lacewing_daemon.direct.crashes._messages import TookTold
 from lacewing_daemon.direct.crashes._record import CrashRecord
+from lacewing_daemon.direct.crashes._registry import CrashRegistry
 from lacewing_daemon.peers import Channels
 from lacewing_daemon.peers import NoReply
 
@@ -45,35 +45,35 @@
 COMPARE_SELDOM_S = 8.0
 # A port that is in use at the start is tried again this often. The router
 # before, which ends its last requests, holds it for seconds.
-LISTEN_AGAIN_S = 1.0
+LISTEN_RETRY_S = 1.0
 # The newest records that one answer holds, some kilobytes each.
 MOST_RECORDS = 100
 
 _log = get_log(Part.MEMBERS)
 
 
-class CrashNews:
+class CrashGossip:
     """Tell peers what is new, and compare with them what is held.
 
-    ``others`` gives the addresses of the other routers, ``take`` takes
-    records and returns those that were new, ``untold`` is called with
+    ``peer_addresses`` gives the addresses of the other routers, ``take`` takes
+    records and returns those that were new, ``on_undelivered`` is called with
     records of which some peer did not hear.
     """
 
     def __init__(
         self,
         address: str,
-        ledger: CrashLedger,
-        others: Callable[[], Sequence[str]],
+        ledger: CrashRegistry,
+        peer_addresses: Callable[[], Sequence[str]],
         take: Callable[[Iterable[CrashRecord]], tuple[CrashRecord, ...]],
-        untold: Callable[[Iterable[CrashRecord]], None],
+        on_undelivered: Callable[[Iterable[CrashRecord]], None],
         random: Random,
     ) -> None:
         self._address = address
         self._ledger = ledger
-        self._others = others
+        self._others = peer_addresses
         self._take = take
-        self._untold = untold
+        self._untold = on_undelivered
         self._random = random
         self._channels = Channels(None)
         self._server = Server([self], codec=MsgpackCodec())
@@ -85,8 +85,10 @@
     def __mapping__(self) -> dict[str, Handler]:
         """Map the methods for grpclib."""
         return {
-            TELL_METHOD: _unary(self._on_told, Told, TookTold),
-            COMPARE_METHOD: _unary(self._on_compared, Compared, Differences),
+            TELL_METHOD: _unary(self._on_told, CrashReport, CrashReportAck),
+            COMPARE_METHOD: _unary(
+                self._on_compared, CompareRequest, CompareReply
+            ),
         }
 
     async def run(self) -> None:
@@ -111,7 +113,7 @@
                 if not told:
                     _log.error('Cannot listen for peers.', error=str(error))
                 told = True
-                await asyncio.sleep(LISTEN_AGAIN_S)
+                await asyncio.sleep(LISTEN_RETRY_S)
         if told:
             _log.info('Listens for peers.')
 
@@ -121,11 +123,13 @@
             await self._compare()
             self._channels.close_idle()
             pause_s = COMPARE_SELDOM_S
-            if self._ledger.newest_s < RECENT_S:
+            if self._ledger.newest_age_s < RECENT_S:
                 pause_s = COMPARE_S
             await asyncio.sleep(pause_s * self._random.uniform(0.75, 1.25))
 
-    def tell(self, records: Iterable[CrashRecord], sender: str = '') -> None:
+    def broadcast(
+        self, records: Iterable[CrashRecord], sender: str = ''
+    ) -> None:
         """Pass news on to a few peers, together with what comes next."""
         if not self._news:
             task = asyncio.create_task(self._tell_soon())
@@ -162,23 +166,26 @@
         if not records:
             return True
         answer = await self._call(
-            address, TELL_METHOD, Told(self._address, records), TookTold
+            address,
+            TELL_METHOD,
+            CrashReport(self._address, records),
+            CrashReportAck,
         )
-        return isinstance(answer, TookTold)
+        return isinstance(answer, CrashReportAck)
 
     async def _compare(self) -> None:
         peers = self._peers()
         if not peers:
             return
         address = self._random.choice(peers)
-        held = self._ledger.marked
+        held = self._ledger.records_by_digest
         answer = await self._call(
             address,
             COMPARE_METHOD,
-            Compared(self._address, tuple(held)),
-            Differences,
+            CompareRequest(self._address, tuple(held)),
+            CompareReply,
         )
-        if not isinstance(answer, Differences):
+        if not isinstance(answer, CompareReply):
             return
         self._pass_on(answer.records, address)
         lacking = [held[one] for one in answer.lacking if one in held]
@@ -198,33 +205,35 @@
             _log.debug('A peer did not answer.', error=answer.message)
         return answer
 
-    async def _on_told(self, stream: Stream[Told, TookTold]) -> None:
+    async def _on_told(
+        self, stream: Stream[CrashReport, CrashReportAck]
+    ) -> None:
         call = await stream.recv_message()
         if call is None:
             return
         self._note_caller(call.sender)
         self._pass_on(call.records, call.sender)
-        await stream.send_message(TookTold())
+        await stream.send_message(CrashReportAck())
 
     async def _on_compared(
-        self, stream: Stream[Compared, Differences]
+        self, stream: Stream[CompareRequest, CompareReply]
     ) -> None:
         call = await stream.recv_message()
         if call is None:
             return
         self._note_caller(call.sender)
         theirs = frozenset(call.marks)
-        held = self._ledger.marked
+        held = self._ledger.records_by_digest
         missing = [held[one] for one in held if one not in theirs]
         lacking = [one for one in call.marks if one not in held]
         await stream.send_message(
-            Differences(tuple(missing[-MOST_RECORDS:]), tuple(lacking))
+            CompareReply(tuple(missing[-MOST_RECORDS:]), tuple(lacking))
         )
 
     def _pass_on(self, records: Iterable[CrashRecord], sender: str) -> None:
         news = self._take(records)
         if news:
-            self.tell(news, sender)
+            self.broadcast(news, sender)
 
     def _note_caller(self, address: str) -> None:
         """Call back who called: it may be too new to be counted."""
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
@@ -12,19 +12,19 @@
 from lacewing_common.log_lines import BrokenRun
 
 from lacewing_daemon.direct._attempt import Contact
-from lacewing_daemon.direct._eras import StoreEras
-from lacewing_daemon.direct._followed import Followed
+from lacewing_daemon.direct._collection_watcher import CollectionWatcher
 from lacewing_daemon.direct._metrics import BLOCKED_REQUESTS
-from lacewing_daemon.direct._site import OwnObjects
+from lacewing_daemon.direct._site import SystemObjects
+from lacewing_daemon.direct._store_eras import StoreEras
 from lacewing_daemon.direct._upstream import Upstream
-from lacewing_daemon.direct.crashes._ledger import CrashLedger
-from lacewing_daemon.direct.crashes._ledger import MOST_CRASHES
+from lacewing_daemon.direct.crashes._crash_store import CrashStore
+from lacewing_daemon.direct.crashes._crash_store import decode_record
+from lacewing_daemon.direct.crashes._detector import CrashDetector
 from lacewing_daemon.direct.crashes._probes import ProbeSchedule
 from lacewing_daemon.direct.crashes._record import CrashRecord
-from lacewing_daemon.direct.crashes._record import Start
-from lacewing_daemon.direct.crashes._stored import decode_record
-from lacewing_daemon.direct.crashes._stored import StoredCrashes
-from lacewing_daemon.direct.crashes._witness import CrashWitness
+from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
+from lacewing_daemon.direct.crashes._registry import CrashRegistry
+from lacewing_daemon.direct.crashes._registry import MAX_CRASHES
 
 # Crashes under one request after which they are written to the store. One
 # crash alone proves nothing, and calls have their price.
@@ -32,7 +32,7 @@
 # Peers are heard this much after the start. Importing what is needed takes
 # 60 ms of processor time; before the first reading of the store it would
 # keep the router from being ready.
-PEERS_AFTER_S = 0.15
+PEERS_START_DELAY_S = 0.15
 # How often it is looked for crashes that count no more.
 FORGET_S = 5.0
 
@@ -52,8 +52,8 @@
         self,
         process_id: str,
         peers_address: str,
-        store: OwnObjects,
-        followed: Followed[str],
+        store: SystemObjects,
+        followed: CollectionWatcher[str],
         others: Callable[[], Sequence[str]],
         reached: Callable[[Upstream], Awaitable[Contact]],
         random: Random,
@@ -62,17 +62,17 @@
         self._peers_address = peers_address
         self._others = others
         self._random = random
-        self._ledger = CrashLedger()
+        self._ledger = CrashRegistry()
         self._probes = ProbeSchedule(random)
-        self._witness = CrashWitness(reached, self._take_own)
-        self._stored = StoredCrashes(store, followed, process_id, random, eras)
-        self._own: dict[Start, CrashRecord] = {}
+        self._witness = CrashDetector(reached, self._take_own)
+        self._stored = CrashStore(store, followed, process_id, random, eras)
+        self._own: dict[UpstreamIncarnation, CrashRecord] = {}
         self._waiting: dict[str, set[Cut]] = {}
         self._blocked: frozenset[str] = frozenset()
         self._tell: Callable[[Iterable[CrashRecord], str], None] | None = None
         followed.on_change(self._take_stored)
 
-    def blocks(self, fingerprint: str) -> bool:
+    def is_blocked(self, fingerprint: str) -> bool:
         """Tell whether a request must not be sent to upstreams."""
         return fingerprint in self._ledger.blocked
 
@@ -87,15 +87,15 @@
         """Return the delay after which a blocked request may be retried."""
         return self._ledger.retry_after_s(fingerprint)
 
-    def suspects(self, fingerprint: str) -> bool:
+    def is_suspected(self, fingerprint: str) -> bool:
         """Tell whether upstreams have crashed under a request."""
-        return self._ledger.crashes(fingerprint) > 0
+        return self._ledger.crash_count(fingerprint) > 0
 
-    def opened(self, fingerprint: str, cut: Cut) -> None:
+    def run_opened(self, fingerprint: str, cut: Cut) -> None:
         """Note a run that has brought nothing yet; ``cut`` breaks it off."""
         self._waiting.setdefault(fingerprint, set()).add(cut)
 
-    def closed(self, fingerprint: str, cut: Cut) -> None:
+    def run_closed(self, fingerprint: str, cut: Cut) -> None:
         """Forget a run that has brought an event or has ended."""
         cuts = self._waiting.get(fingerprint)
         if cuts is None:
@@ -104,18 +104,18 @@
         if not cuts:
             del self._waiting[fingerprint]
 
-    def broke(
+    def run_broken(
         self, upstream: Upstream, run: BrokenRun, opened_s: float
     ) -> None:
         """Note that an upstream broke a run off.
 
         ``opened_s`` is when its connection was opened, on the boot clock.
         """
-        known = Start(upstream.upstream_id, upstream.started_ms)
-        start = self._ledger.start_of(known, opened_s)
-        self._witness.broke(upstream, start, run)
+        known = UpstreamIncarnation(upstream.upstream_id, upstream.started_ms)
+        start = self._ledger.incarnation_of(known, opened_s)
+        self._witness.run_broken(upstream, start, run)
 
-    def ran_well(self, fingerprint: str) -> None:
+    def run_succeeded(self, fingerprint: str) -> None:
         """Note that a request was answered: it crashed nothing before."""
         news = self._ledger.clear(fingerprint)
         if news:
@@ -136,10 +136,10 @@
         self._witness.close()
 
     async def _run_peers(self) -> None:
-        await asyncio.sleep(PEERS_AFTER_S)
-        from lacewing_daemon.direct.crashes._news import CrashNews
+        await asyncio.sleep(PEERS_START_DELAY_S)
+        from lacewing_daemon.direct.crashes._gossip import CrashGossip
 
-        news = CrashNews(
+        news = CrashGossip(
             self._peers_address,
             self._ledger,
             self._others,
@@ -147,7 +147,7 @@
             self._store_own,
             self._random,
         )
-        self._tell = news.tell
+        self._tell = news.broadcast
         try:
             await news.run()
         finally:
@@ -157,7 +157,7 @@
     async def _forget(self) -> None:
         while True:
             await asyncio.sleep(FORGET_S)
-            self._ledger.forget_old()
+            self._ledger.expire()
             self._judge()
 
     def _take_own(self, record: CrashRecord) -> None:
@@ -168,7 +168,7 @@
             gone = before.gone or record.gone
             record = CrashRecord(record.start, suspects, gone=gone)
         self._own[record.start] = record
-        if len(self._own) > MOST_CRASHES:
+        if len(self._own) > MAX_CRASHES:
             del self._own[next(iter(self._own))]
         news = self._take((record,))
         if news:
@@ -185,7 +185,7 @@
 
     def _take(self, records: Iterable[CrashRecord]) -> tuple[CrashRecord, ...]:
         """Take records; return those that told something new."""
-        news = tuple(one for one in records if self._ledger.take(one))
+        news = tuple(one for one in records if self._ledger.merge(one))
         if news:
             self._store_repeated(news)
             self._judge()
@@ -202,17 +202,17 @@
         for record in records:
             own = self._own.get(record.start)
             if own is not None:
-                self._stored.store(own)
+                self._stored.save(own)
 
     def _store_repeated(self, news: tuple[CrashRecord, ...]) -> None:
         """Write to the store what adds to a crash under the same request."""
         for record in news:
             for suspect in record.suspects:
-                starts = self._ledger.starts(suspect.fingerprint)
+                starts = self._ledger.incarnations(suspect.fingerprint)
                 if len(starts) < CRASHES_TO_WRITE:
                     continue
                 for start in starts & self._own.keys():
-                    self._stored.store(self._own[start])
+                    self._stored.save(self._own[start])
 
     def _judge(self) -> None:
         """Act on what is known now."""
@@ -221,7 +221,7 @@
             _log.warning(
                 'Blocks a request.',
                 same=fingerprint,
-                crashes=self._ledger.crashes(fingerprint),
+                crashes=self._ledger.crash_count(fingerprint),
             )
             for cut in tuple(self._waiting.get(fingerprint, ())):
                 cut()
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_messages.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_messages.py
@@ -8,25 +8,25 @@
 COMPARE_METHOD = '/lacewing.Crashes/Compare'
 
 
-class Told(msgspec.Struct, frozen=True):
+class CrashReport(msgspec.Struct, frozen=True):
     """Tell what is new; ``sender`` is ``ip:port`` for calls of peers."""
 
     sender: str
     records: tuple[CrashRecord, ...]
 
 
-class TookTold(msgspec.Struct, frozen=True):
+class CrashReportAck(msgspec.Struct, frozen=True):
     """Confirm that the news has come."""
 
 
-class Compared(msgspec.Struct, frozen=True):
+class CompareRequest(msgspec.Struct, frozen=True):
     """Ask for what the sender lacks; ``marks`` of all that it holds."""
 
     sender: str
     marks: tuple[int, ...]
 
 
-class Differences(msgspec.Struct, frozen=True):
+class CompareReply(msgspec.Struct, frozen=True):
     """Give records that the caller lacks, and marks of those lacking here."""
 
     records: tuple[CrashRecord, ...]
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_record.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_record.py
@@ -6,7 +6,7 @@
 _encode = msgspec.msgpack.encode
 
 
-class Start(msgspec.Struct, frozen=True):
+class UpstreamIncarnation(msgspec.Struct, frozen=True):
     """Name one start of an upstream; it crashes once at most.
 
     ``again`` counts starts after it that nobody could read in the store.
@@ -31,12 +31,12 @@
     ``gone``: nobody listened at its address any more.
     """
 
-    start: Start
+    start: UpstreamIncarnation
     suspects: tuple[Suspect, ...] = ()
     cleared: tuple[str, ...] = ()
     gone: bool = False
 
 
-def mark(record: CrashRecord) -> int:
+def record_digest(record: CrashRecord) -> int:
     """Return a digest by which two routers see that both hold a record."""
     return xxhash.xxh3_64_intdigest(_encode(record))
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_ledger.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_registry.py
@@ -13,9 +13,9 @@
 
 from lacewing_daemon.direct._clock import boot_s
 from lacewing_daemon.direct.crashes._record import CrashRecord
-from lacewing_daemon.direct.crashes._record import mark
-from lacewing_daemon.direct.crashes._record import Start
+from lacewing_daemon.direct.crashes._record import record_digest
 from lacewing_daemon.direct.crashes._record import Suspect
+from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
 
 # A request is blocked after so many crashes that nothing else explains; after
 # one less if it is the only one with as many and had brought no event at any.
@@ -26,14 +26,14 @@
 CRASHES_TO_BLOCK = 3
 # How long a crash counts. Who repeats what crashes upstreams does so for
 # minutes; who was blocked wrongly gets in again after this.
-COUNTS_S = 600.0
+CRASH_TTL_S = 600.0
 # Other routers report a crash within this time.
 REPORT_DELAY_S = 2.0
 # Retry delay of blocks that further reports or probes may still lift.
 PROVISIONAL_RETRY_S = 2.0
 # Crashes remembered, the newest. One upstream crashes every few seconds at
 # the most, and each crash takes some kilobytes.
-MOST_CRASHES = 500
+MAX_CRASHES = 500
 
 
 @dataclass
@@ -52,7 +52,7 @@
     marked: tuple[int, CrashRecord] | None = None
 
 
-class CrashLedger:
+class CrashRegistry:
     """Hold the crashes of late and tell which requests caused them.
 
     All that ran at an upstream is under suspicion when it crashes. Beside a
@@ -73,8 +73,8 @@
     ) -> None:
         self._to_block = to_block
         self._clock = clock
-        self._crashes: dict[Start, _Crash] = {}
-        self._under: dict[str, set[Start]] = {}
+        self._crashes: dict[UpstreamIncarnation, _Crash] = {}
+        self._under: dict[str, set[UpstreamIncarnation]] = {}
         self._blocked: frozenset[str] = frozenset()
         self._ambiguous: frozenset[str] = frozenset()
         self._stale = False
@@ -85,7 +85,7 @@
         return not self._crashes
 
     @property
-    def newest_s(self) -> float:
+    def newest_age_s(self) -> float:
         """Return how long ago the newest crash was heard of."""
         if not self._crashes:
             return float('inf')
@@ -93,13 +93,13 @@
         return self._clock() - newest.heard_s
 
     @property
-    def marked(self) -> dict[int, CrashRecord]:
+    def records_by_digest(self) -> dict[int, CrashRecord]:
         """Return a record of each crash by its mark, the newest last."""
         found = {}
         for start, crash in self._crashes.items():
             if crash.marked is None:
                 record = _record(start, crash)
-                crash.marked = (mark(record), record)
+                crash.marked = (record_digest(record), record)
             found[crash.marked[0]] = crash.marked[1]
         return found
 
@@ -130,17 +130,19 @@
         recent = now_s < newest_s + REPORT_DELAY_S
         if fingerprint in self._ambiguous or recent:
             return PROVISIONAL_RETRY_S
-        return max(0.0, newest_s + COUNTS_S - now_s)
+        return max(0.0, newest_s + CRASH_TTL_S - now_s)
 
-    def crashes(self, fingerprint: str) -> int:
+    def crash_count(self, fingerprint: str) -> int:
         """Return the crashes under a request, whoever caused them."""
         return len(self._under.get(fingerprint, ()))
 
-    def starts(self, fingerprint: str) -> frozenset[Start]:
+    def incarnations(self, fingerprint: str) -> frozenset[UpstreamIncarnation]:
         """Return the starts of upstreams that crashed under a request."""
         return frozenset(self._under.get(fingerprint, ()))
 
-    def start_of(self, known: Start, opened_s: float) -> Start:
+    def incarnation_of(
+        self, known: UpstreamIncarnation, opened_s: float
+    ) -> UpstreamIncarnation:
         """Return the start to which a connection was opened.
 
         ``known`` is the one read last in the store. While the store is away
@@ -156,12 +158,12 @@
                 return start
             start = msgspec.structs.replace(start, again=start.again + 1)
 
-    def take(self, record: CrashRecord) -> bool:
+    def merge(self, record: CrashRecord) -> bool:
         """Take what was told of a crash; false if all of it was known."""
         crash = self._crashes.get(record.start)
         new = False
         if crash is None:
-            self.forget_old()
+            self.expire()
             crash = _Crash(self._clock())
             self._crashes[record.start] = crash
             new = True
@@ -185,12 +187,12 @@
         self._stale |= bool(news)
         return tuple(news)
 
-    def forget_old(self) -> None:
+    def expire(self) -> None:
         """Drop what counts no more."""
-        oldest_s = self._clock() - COUNTS_S
+        oldest_s = self._clock() - CRASH_TTL_S
         for start in list(self._crashes):
             crash = self._crashes[start]
-            if crash.heard_s > oldest_s and len(self._crashes) < MOST_CRASHES:
+            if crash.heard_s > oldest_s and len(self._crashes) < MAX_CRASHES:
                 # They are in the order in which they were heard of.
                 return
             for fingerprint in crash.begun:
@@ -198,7 +200,9 @@
             del self._crashes[start]
             self._stale = True
 
-    def _suspect(self, start: Start, crash: _Crash, suspect: Suspect) -> bool:
+    def _suspect(
+        self, start: UpstreamIncarnation, crash: _Crash, suspect: Suspect
+    ) -> bool:
         fingerprint = suspect.fingerprint
         if fingerprint in crash.cleared:
             return False
@@ -211,7 +215,9 @@
         self._under.setdefault(fingerprint, set()).add(start)
         return True
 
-    def _clear_of(self, start: Start, crash: _Crash, fingerprint: str) -> bool:
+    def _clear_of(
+        self, start: UpstreamIncarnation, crash: _Crash, fingerprint: str
+    ) -> bool:
         if fingerprint in crash.cleared:
             return False
         crash.cleared.add(fingerprint)
@@ -220,7 +226,7 @@
             self._drop(start, fingerprint)
         return True
 
-    def _drop(self, start: Start, fingerprint: str) -> None:
+    def _drop(self, start: UpstreamIncarnation, fingerprint: str) -> None:
         starts = self._under[fingerprint]
         starts.discard(start)
         if not starts:
@@ -233,7 +239,7 @@
 
     def _find_causes(self) -> None:
         """Explain the crashes, those with the most under one request first."""
-        left: dict[str, set[Start]] = {}
+        left: dict[str, set[UpstreamIncarnation]] = {}
         for fingerprint, starts in self._under.items():
             if len(starts) >= self._to_block - 1:
                 left[fingerprint] = set(starts)
@@ -250,7 +256,7 @@
             ambiguous |= self._ambiguous_among(
                 {cause: left[cause] for cause in causes}
             )
-            explained: set[Start] = set()
+            explained: set[UpstreamIncarnation] = set()
             for fingerprint in causes:
                 explained |= left.pop(fingerprint)
             found.update(causes)
@@ -259,7 +265,9 @@
         self._blocked = frozenset(found)
         self._ambiguous = frozenset(ambiguous)
 
-    def _ambiguous_among(self, causes: dict[str, set[Start]]) -> set[str]:
+    def _ambiguous_among(
+        self, causes: dict[str, set[UpstreamIncarnation]]
+    ) -> set[str]:
         """Return the causes that share too many crashes with other causes."""
         counts = Counter(chain.from_iterable(causes.values()))
         ambiguous = set()
@@ -277,7 +285,9 @@
             return False
         return alike == 1 and unbegun == crashes
 
-    def _weight(self, fingerprint: str, starts: set[Start]) -> tuple[int, int]:
+    def _weight(
+        self, fingerprint: str, starts: set[UpstreamIncarnation]
+    ) -> tuple[int, int]:
         """Return the crashes, and those before any event of the request.
 
         What crashes an upstream does so as it begins to run; a request that
@@ -290,7 +300,7 @@
         return len(starts), unbegun
 
 
-def _record(start: Start, crash: _Crash) -> CrashRecord:
+def _record(start: UpstreamIncarnation, crash: _Crash) -> CrashRecord:
     suspects = []
     for fingerprint in sorted(crash.begun):
         suspects.append(Suspect(fingerprint, crash.begun[fingerprint]))
--- a/packages/daemon/src/lacewing_daemon/lease.py
+++ b/packages/daemon/src/lacewing_daemon/lease.py
@@ -52,14 +52,14 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class LeaseHeld:
     """Report the lease as held; ``fence`` is its fencing number."""
 
     fence: int
 
 
 @dataclass(frozen=True)
-class NotHeld:
+class LeaseNotHeld:
     """Report that another holds the lease, or that nobody can tell."""
 
     message: str
@@ -110,9 +110,9 @@
         self._other_acted_s = float('-inf')
 
     @property
-    def acting(self) -> bool:
+    def is_acting(self) -> bool:
         """Tell whether the lease is written as one that is acted under."""
-        return self._acting and self.held
+        return self._acting and self.is_held
 
     @property
     def other_acted_ago_s(self) -> float:
@@ -120,7 +120,7 @@
         return self._clock() - self._other_acted_s
 
     @property
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """Tell whether this process's own clock is within the lease."""
         return self._version > 0 and self._clock() < self._until_s
 
@@ -131,14 +131,14 @@
             return 0
         return (self._era << _VERSION_BITS) + self._version
 
-    async def acquire(self) -> Held | NotHeld:
+    async def acquire(self) -> LeaseHeld | LeaseNotHeld:
         """Renew the lease, or take one that is free or has lapsed.
 
         Returns a fencing number higher than all before it.
         """
-        if self.held:
+        if self.is_held:
             answer = await self._write(self._holder, self._version)
-            if isinstance(answer, Held) or self.held:
+            if isinstance(answer, LeaseHeld) or self.is_held:
                 return answer
         glimpse = await self._peek(LEASES, self._name)
         self._take_era(glimpse.era)
@@ -150,9 +150,9 @@
         self._take_era(seen.era)
         if isinstance(seen, StoreError):
             if seen.fault is not StoreFault.NOT_FOUND:
-                return NotHeld(seen.message)
+                return LeaseNotHeld(seen.message)
             if self._may_be_held_from_before(self._duration_s):
-                return NotHeld(f'{self._name} may have been lost')
+                return LeaseNotHeld(f'{self._name} may have been lost')
             self._other_acted_s = max(self._other_acted_s, self._era_from_s)
             return await self._write(self._holder, MUST_NOT_EXIST)
         waiting = self._look(seen)
@@ -168,18 +168,20 @@
         While nobody acts, holders may then change without a pause, as they
         do when all processes are restarted in turn.
         """
-        if self.acting:
+        if self.is_acting:
             return True
-        if not self.held:
+        if not self.is_held:
             # Taking it over first would skip the wait for a predecessor.
             return False
         self._acting = True
-        if isinstance(await self._write(self._holder, self._version), Held):
+        if isinstance(
+            await self._write(self._holder, self._version), LeaseHeld
+        ):
             return True
         self._acting = False
         return False
 
-    def note_act(self) -> None:
+    def record_action(self) -> None:
         """Note that the holder acts at this moment."""
         self._acted_s = self._clock()
 
@@ -189,7 +191,7 @@
 
     async def release(self) -> None:
         """Let others take the lease without waiting it out."""
-        version = self._version if self.held else 0
+        version = self._version if self.is_held else 0
         self._version = 0
         self._acting = False
         if version:
@@ -212,7 +214,7 @@
         since_s = self._clock() - self._era_from_s
         return since_s < duration_s + self._margin_s
 
-    def _look(self, seen: StoredObject) -> NotHeld | None:
+    def _look(self, seen: StoredObject) -> LeaseNotHeld | None:
         """Tell whether a lease seen has to be waited out.
 
         Its holder counts from before it sent its last renewal, which was
@@ -220,7 +222,9 @@
         the holder's own clock has passed the end, paused or not.
         """
         if seen.era < self._era:
-            return NotHeld(f'{self._name} was read before the store returned')
+            return LeaseNotHeld(
+                f'{self._name} was read before the store returned'
+            )
         record = self._record(seen)
         now_s = self._clock()
         if self._from_before(record):
@@ -238,7 +242,7 @@
         if now_s - self._seen_at_s >= wait_s:
             return None
         holder = 'unknown' if record is None else record.holder
-        return NotHeld(f'{self._name} is held by {holder}')
+        return LeaseNotHeld(f'{self._name} is held by {holder}')
 
     def _record(self, seen: StoredObject) -> LeaseRecord | None:
         """Decode a lease's value; None if no holder wrote it.
@@ -274,7 +278,9 @@
         acted_ago_s = 0.0 if record is None else record.acted_ago_s
         self._other_acted_s = self._clock() - acted_ago_s
 
-    async def _write(self, holder: str, expect: int) -> Held | NotHeld:
+    async def _write(
+        self, holder: str, expect: int
+    ) -> LeaseHeld | LeaseNotHeld:
         # Counted from before the call: when its answer comes late, the
         # lease has run since the platform took the write.
         began_s = self._clock()
@@ -283,16 +289,16 @@
         self._take_era(answer.era)
         if self._era != era and era:
             # Versions are given out again: the condition held by chance.
-            return NotHeld('the store has returned from a copy')
+            return LeaseNotHeld('the store has returned from a copy')
         if isinstance(answer, StoredObject):
             self._version = answer.version
             self._until_s = began_s + self._duration_s
-            if self.held:
-                return Held(self.fence)
-            return NotHeld('the renewal took as long as the lease')
+            if self.is_held:
+                return LeaseHeld(self.fence)
+            return LeaseNotHeld('the renewal took as long as the lease')
         if answer.fault is StoreFault.CONFLICT:
             self._version = 0
-        return NotHeld(answer.message)
+        return LeaseNotHeld(answer.message)
 
     async def _put(
         self, holder: str, expect: int
--- a/packages/daemon/src/lacewing_daemon/placement/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/placement/__init__.py
@@ -1,8 +1,8 @@
 """Decide which worker holds which model, and bring workers to it."""
 
-from lacewing_daemon.lease import Held
 from lacewing_daemon.lease import Lease
-from lacewing_daemon.lease import NotHeld
+from lacewing_daemon.lease import LeaseHeld
+from lacewing_daemon.lease import LeaseNotHeld
 from lacewing_daemon.placement._members import ServiceMembers
 from lacewing_daemon.placement._order_client import OrderClient
 from lacewing_daemon.placement._orders import Orders
@@ -20,10 +20,10 @@
 
 __all__ = [
     'AgentSide',
-    'Held',
+    'LeaseHeld',
     'Lease',
     'ModelDemand',
-    'NotHeld',
+    'LeaseNotHeld',
     'OrderClient',
     'OrderSettings',
     'Orders',
--- a/packages/daemon/src/lacewing_daemon/placement/_orders.py
+++ b/packages/daemon/src/lacewing_daemon/placement/_orders.py
@@ -12,8 +12,8 @@
 from lacewing_common.plan import WorkerPlan
 from lacewing_common.wait_event import wait_event
 
-from lacewing_daemon.lease import Held
 from lacewing_daemon.lease import Lease
+from lacewing_daemon.lease import LeaseHeld
 from lacewing_daemon.placement._next_order import next_order
 from lacewing_daemon.placement._next_order import takes_away
 from lacewing_daemon.placement._order_client import Order
@@ -139,18 +139,18 @@
     async def _may_order(self) -> bool:
         if self._checks_fence():
             return True
-        had = self._lease.held
+        had = self._lease.is_held
         answer = await self._lease.acquire()
-        if isinstance(answer, Held) and not had:
+        if isinstance(answer, LeaseHeld) and not had:
             self._audit.report(
                 Action.LEASE, self._worker, after=str(answer.fence)
             )
-        if not self._lease.held:
+        if not self._lease.is_held:
             _log.info('Order lease not held.', worker=self._worker)
-        return self._lease.held
+        return self._lease.is_held
 
     async def _let_go(self) -> None:
-        if self._lease.held:
+        if self._lease.is_held:
             await self._lease.release()
 
     async def _retire(self, order: Order, state: OrderState) -> bool:
@@ -174,7 +174,7 @@
         # unaware: a worker that checks no fencing number would obey it, and
         # load what the newer plan took away. Its own clock tells; nothing
         # is awaited between this look and the order.
-        if not self._checks_fence() and not self._lease.held:
+        if not self._checks_fence() and not self._lease.is_held:
             self._models.restore()
             self._report(order, state, 'not given: the lease ran out')
             return False
@@ -197,7 +197,7 @@
         """Renew the lease while an order or a drain takes its time."""
         while not self._checks_fence():
             await asyncio.sleep(self._settings.renew_s)
-            if self._lease.held:
+            if self._lease.is_held:
                 await self._lease.acquire()
 
     def _note_failure(
--- a/packages/daemon/src/lacewing_daemon/placement/_planner_task.py
+++ b/packages/daemon/src/lacewing_daemon/placement/_planner_task.py
@@ -21,8 +21,8 @@
 from lacewing_common.verdict import Refusal
 from lacewing_common.wait_event import wait_event
 
-from lacewing_daemon.lease import Held
 from lacewing_daemon.lease import Lease
+from lacewing_daemon.lease import LeaseHeld
 from lacewing_daemon.placement._members import ServiceMembers
 from lacewing_daemon.placement._plan_store import PlanStore
 from lacewing_daemon.placement._planner import make_plan
@@ -84,7 +84,7 @@
     @property
     def planning(self) -> bool:
         """Tell whether this process plans the service now."""
-        return self._holding and self._parts.lease.held
+        return self._holding and self._parts.lease.is_held
 
     def plan_soon(self) -> None:
         """Plan at once: something changed."""
@@ -137,9 +137,9 @@
             return True
         had = self.planning
         answer = await lease.acquire()
-        if isinstance(answer, Held):
+        if isinstance(answer, LeaseHeld):
             self._renewed_s = now_s
-        if not lease.held:
+        if not lease.is_held:
             self._holding = False
             return False
         if had:
@@ -213,7 +213,7 @@
         # Each plan has a fencing number of its own: the version that a
         # renewal gives the lease.
         answer = await self._parts.lease.acquire()
-        if not isinstance(answer, Held):
+        if not isinstance(answer, LeaseHeld):
             return
         self._renewed_s = time.monotonic()
         plan = msgspec.structs.replace(plan, fence=answer.fence)
