--- a/features/steps/block_probes_steps.py
+++ b/features/steps/block_probes_steps.py
@@ -13,7 +13,7 @@
 from lacewing_daemon.direct.crashes import Suspect
 from lacewing_daemon.direct.crashes import UpstreamIncarnation
 from lacewing_daemon.direct.crashes._fingerprint import fingerprint
-from lacewing_platform_testing import BORN
+from lacewing_platform_testing import PROCESS_START_MS
 from support.direct_bench import Answer
 from support.direct_bench import direct_bench
 from support.direct_bench import DirectBench
@@ -52,9 +52,9 @@
         Suspect(_fingerprint(body), False) for body in (CRASHES, HARMLESS)
     )
     for number in range(1, count + 1):
-        start = UpstreamIncarnation(f'up-{number}', BORN - 1)
+        start = UpstreamIncarnation(f'up-{number}', PROCESS_START_MS - 1)
         text = msgspec.json.encode(CrashRecord(start, suspects)).decode()
-        name = f'up-{number}.{BORN - 1}.0.router-9'
+        name = f'up-{number}.{PROCESS_START_MS - 1}.0.router-9'
         put = partial(bench.store.put, STORED_KIND, name, {'text': text})
         bench.on_loop(put)
 
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -15,8 +15,8 @@
 from lacewing_bench.capacity._table import Table
 from lacewing_common.wire_peers import MemberRecord
 from lacewing_daemon.peers._members import GossipMembers
-from lacewing_daemon.peers._notes import VmNotes
 from lacewing_daemon.peers._table import MemberTable
+from lacewing_daemon.peers._vm_notes import VmNotes
 
 OWN_WORDS = 'Words of the page.'
 
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -14,7 +14,7 @@
 from lacewing_daemon.direct.crashes._guard import PEERS_START_DELAY_S
 from lacewing_daemon.direct.crashes._registry import CRASHES_TO_BLOCK
 from lacewing_platform_testing import Behaviour
-from lacewing_platform_testing import StandInUpstream
+from lacewing_platform_testing import FakeUpstream
 from lacewing_platform_testing import StoreMode
 from support.direct_bench import direct_bench
 from support.direct_bench import DirectBench
@@ -45,13 +45,15 @@
 
 
 def _come_back(
-    bench: DirectBench, upstream: StandInUpstream
+    bench: DirectBench, upstream: FakeUpstream
 ) -> Callable[[], None]:
     async def start_again() -> None:
         await asyncio.sleep(BACK_S)
-        upstream.start_again()
+        upstream.start_new_incarnation()
         upstream.server.start(upstream.server.port)
-        bench.store.put('servers', upstream.upstream_id, upstream.entry())
+        bench.store.put(
+            'servers', upstream.upstream_id, upstream.store_entry()
+        )
 
     def on_crash() -> None:
         asyncio.get_running_loop().create_task(start_again())
--- a/features/steps/direct_starts_steps.py
+++ b/features/steps/direct_starts_steps.py
@@ -83,7 +83,7 @@
     """Write the entry of the start before, and wait until it is read."""
     bench = direct_bench(context)
     upstream = context.started
-    entry = upstream.entry('draining')
+    entry = upstream.store_entry('draining')
     entry['born'] = upstream.born - 1
     name = upstream.upstream_id
     bench.on_loop(lambda: bench.store.put('servers', name, entry))
@@ -100,7 +100,7 @@
     bench.start_again(name)
     bench.run(sleep(KNOWN_S))
     upstream = bench.upstreams[name]
-    entry = upstream.entry()
+    entry = upstream.store_entry()
     assert upstream.born is not None
     entry['born'] = upstream.born - 1
     entry['Models'] = [{'Name': MODEL, 'Version': version, 'Adapters': []}]
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -11,7 +11,7 @@
 from behave import then
 from behave import when
 from behave.runner import Context
-from lacewing_platform_testing import StandInUpstream
+from lacewing_platform_testing import FakeUpstream
 from support.direct_bench import BOUNDS
 from support.direct_bench import direct_bench
 from support.direct_bench import MODEL
@@ -23,15 +23,15 @@
 NESTED = 100_000
 
 
-def _trap(context: Context) -> StandInUpstream:
+def _trap(context: Context) -> FakeUpstream:
     """Return the upstream at the address that spoilt entries name."""
     if not hasattr(context, 'trap'):
         bench = direct_bench(context)
-        context.trap = StandInUpstream('trap', 'registry')
+        context.trap = FakeUpstream('trap', 'registry')
         bench.on_loop(context.trap.server.start)
         context.resources.callback(bench.on_loop, context.trap.server.close)
         context.spoilt = 0
-    trap: StandInUpstream = context.trap
+    trap: FakeUpstream = context.trap
     return trap
 
 
@@ -47,7 +47,7 @@
 def step_lack(context: Context) -> None:
     """Leave out one field of a good entry."""
     for row in context.table:
-        entry = _trap(context).entry()
+        entry = _trap(context).store_entry()
         del entry[row['field']]
         _write(context, entry)
 
@@ -56,7 +56,7 @@
 def step_differ(context: Context) -> None:
     """Change one field of a good entry."""
     for row in context.table:
-        entry = _trap(context).entry()
+        entry = _trap(context).store_entry()
         entry[row['field']] = json.loads(row['value'])
         _write(context, entry)
 
@@ -90,7 +90,7 @@
 def step_spoilt_and_good(context: Context, name: str) -> None:
     """Write both before a router reads, and wait until it has."""
     bench = direct_bench(context)
-    good = bench.upstreams[name].entry()
+    good = bench.upstreams[name].store_entry()
 
     def write() -> None:
         bench.store.put('servers', name, 5)
@@ -162,13 +162,13 @@
     """Write an entry with a model that an engine of a route has."""
     trap = _trap(context)
     trap.weights[MODEL] = 1
-    _write(context, {**trap.entry(), 'Service': 'unknown'})
+    _write(context, {**trap.store_entry(), 'Service': 'unknown'})
 
 
 @given('an entry of an unknown service that has version {version:d}')
 def step_unknown_version(context: Context, version: int) -> None:
     """Write it before a router starts."""
-    entry = _trap(context).entry()
+    entry = _trap(context).store_entry()
     entry['Service'] = 'nobody'
     entry['Models'] = [{'Name': MODEL, 'Version': version, 'Adapters': []}]
     _write(context, entry)
@@ -187,7 +187,7 @@
 @given("an engine's entry that names no models")
 def step_no_models(context: Context) -> None:
     """Write an entry as one of a plain service has it."""
-    entry = _trap(context).entry()
+    entry = _trap(context).store_entry()
     del entry['Models']
     _write(context, {**entry, 'Service': 'models'})
 
@@ -267,7 +267,7 @@
         kind = random.choice(('servers', 'servers', 'versions', 'own'))
         if kind == 'servers':
             service = random.choice(('registry', 'models'))
-            entry = {**trap.entry(), 'Service': service}
+            entry = {**trap.store_entry(), 'Service': service}
             _write(context, _spoilt(entry, random))
             continue
         name = f'odd-{random.randrange(20)}'
--- a/features/steps/hostile_steps.py
+++ b/features/steps/hostile_steps.py
@@ -25,9 +25,9 @@
 from lacewing_daemon.direct._pool import ConnectionPool
 from lacewing_platform import PlatformSite
 from lacewing_platform import PlatformWire
-from lacewing_platform_testing._server import Received
-from lacewing_platform_testing._server import StandInServer
-from lacewing_platform_testing._server import whole_answer
+from lacewing_platform_testing._server import complete_response
+from lacewing_platform_testing._server import FakeServer
+from lacewing_platform_testing._server import ReceivedRequest
 from tornado.httputil import HTTPHeaders
 
 SEED = 11
@@ -89,17 +89,17 @@
     random = Random(SEED)
     answers: list[bytes] = []
 
-    async def handle(received: Received) -> None:
+    async def handle(received: ReceivedRequest) -> None:
         proof = {
             PREFIX + 'Request-Id': received.headers[PREFIX + 'Request-Id'],
             PREFIX + 'Response-Signature': 'signed',
         }
-        answers.append(_spoil(whole_answer(200, proof, BODY), random))
+        answers.append(_spoil(complete_response(200, proof, BODY), random))
         await received.stream.write(answers[-1])
         if random.random() < 0.5:
             received.stream.close()
 
-    server = StandInServer(handle)
+    server = FakeServer(handle)
     server.start()
     pool = ConnectionPool()
     ends = []
@@ -166,7 +166,7 @@
             continue
         good += 1
         assert end.complete and end.head is not None, end
-        assert end.head.authenticated, end
+        assert end.head.is_signed, end
         assert end.body in answer, (answer, end)
     assert 0 < good < context.count, good
 
@@ -188,12 +188,12 @@
     random = Random(SEED)
     page = msgspec.json.encode(_PAGE)
 
-    async def handle(received: Received) -> None:
+    async def handle(received: ReceivedRequest) -> None:
         head = {'Content-Type': 'application/json'}
         body = _spoil(page, random)
-        await received.stream.write(whole_answer(200, head, body))
+        await received.stream.write(complete_response(200, head, body))
 
-    server = StandInServer(handle)
+    server = FakeServer(handle)
     server.start()
     site = PlatformSite(server.address)
     got: list[object] = []
--- a/features/steps/peers_narrow_steps.py
+++ b/features/steps/peers_narrow_steps.py
@@ -98,7 +98,7 @@
     async def hear() -> None:
         fetcher = Fetcher(context.replicas, context.peer, Random())
         for _ in range(count):
-            fetcher.hear(OFFERER, (note,))
+            fetcher.offer(OFFERER, (note,))
             while fetcher.fetching:
                 await asyncio.sleep(0)
 
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -149,7 +149,7 @@
     bench = context.bench
     bench.until(
         lambda: all(
-            peer.node.untold == 0 or peer.version == 0
+            peer.node.pending_updates == 0 or peer.version == 0
             for peer in bench.peers.values()
         ),
         'end of the news',
--- a/features/steps/slow_answers_steps.py
+++ b/features/steps/slow_answers_steps.py
@@ -20,10 +20,10 @@
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
 from lacewing_common.store import StoreFault
+from lacewing_platform_testing._server import complete_response
+from lacewing_platform_testing._server import FakeServer
 from lacewing_platform_testing._server import NarrowLink
-from lacewing_platform_testing._server import Received
-from lacewing_platform_testing._server import StandInServer
-from lacewing_platform_testing._server import whole_answer
+from lacewing_platform_testing._server import ReceivedRequest
 from support.event_loop import delay_iterations
 
 KIND = 'bundle'
@@ -46,20 +46,20 @@
     """Serve one large object slowly and all others at once."""
 
     def __init__(self) -> None:
-        self.server = StandInServer(self._handle)
+        self.server = FakeServer(self._handle)
         self.link = NarrowLink()
         self.large = b''
         self.piece = 0
         self.write_after_s = 0.0
 
-    async def _handle(self, received: Received) -> None:
+    async def _handle(self, received: ReceivedRequest) -> None:
         large = received.path.endswith('/large')
         body = self.large if large else SMALL
-        answer = whole_answer(200, {'ETag': '"1"'}, body)
+        answer = complete_response(200, {'ETag': '"1"'}, body)
         if large and received.method == 'PUT' and self.write_after_s:
             await asyncio.sleep(self.write_after_s)
             await received.stream.write(
-                whole_answer(200, {'ETag': '"1"'}, b'')
+                complete_response(200, {'ETag': '"1"'}, b'')
             )
             return
         if not large:
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -18,10 +18,10 @@
 from lacewing_platform_testing.soak import run_seed
 from lacewing_platform_testing.soak import SoakReport
 from lacewing_platform_testing.soak import Theme
-from lacewing_platform_testing.soak._callers import ask
-from lacewing_platform_testing.soak._callers import Seen
+from lacewing_platform_testing.soak._callers import ObservedAnswer
+from lacewing_platform_testing.soak._callers import send_request
 from lacewing_platform_testing.soak._routers import RouterProcess
-from lacewing_platform_testing.soak._run import serves
+from lacewing_platform_testing.soak._run import is_serving
 from lacewing_platform_testing.soak._site import KEYS
 from lacewing_platform_testing.soak._site import SoakSite
 
@@ -39,12 +39,12 @@
         )
         self.loop.call(self._start())
 
-    def ask_slowly(self) -> 'asyncio.Task[Seen]':
+    def ask_slowly(self) -> 'asyncio.Task[ObservedAnswer]':
         """Send a request that its upstream holds."""
-        task: asyncio.Task[Seen] = self.loop.call(self._ask())
+        task: asyncio.Task[ObservedAnswer] = self.loop.call(self._ask())
         return task
 
-    def wait(self, task: 'asyncio.Task[Seen]') -> Seen:
+    def wait(self, task: 'asyncio.Task[ObservedAnswer]') -> ObservedAnswer:
         """Return the answer."""
         return self.loop.call(_result(task))
 
@@ -63,9 +63,9 @@
 
     async def _start(self) -> None:
         self.router.start()
-        assert await serves([self.router.address], 20.0)
+        assert await is_serving([self.router.address], 20.0)
 
-    async def _ask(self) -> 'asyncio.Task[Seen]':
+    async def _ask(self) -> 'asyncio.Task[ObservedAnswer]':
         for upstream in self.site.upstreams:
             upstream.hold.clear()
         before = len(self._ran())
@@ -74,7 +74,7 @@
         )
         task = asyncio.create_task(
             asyncio.to_thread(
-                ask, connection, 'slow', '/certificates/1', KEYS[0]
+                send_request, connection, 'slow', '/certificates/1', KEYS[0]
             )
         )
         while len(self._ran()) == before:
@@ -95,7 +95,7 @@
         return self.router.exits[0]
 
     async def _close(self) -> None:
-        await self.router.end()
+        await self.router.terminate()
         self.site.close()
 
     def _ran(self) -> list[str]:
@@ -105,7 +105,7 @@
         return ran
 
 
-async def _result(task: 'asyncio.Task[Seen]') -> Seen:
+async def _result(task: 'asyncio.Task[ObservedAnswer]') -> ObservedAnswer:
     return await task
 
 
--- a/features/steps/store_returns_steps.py
+++ b/features/steps/store_returns_steps.py
@@ -43,7 +43,7 @@
     context.key = KEY
 
     def play() -> None:
-        kept = bench.store.copy()
+        kept = bench.store.snapshot()
         for number in range(NOISE):
             bench.store.put('noise', f'before-{number}', number)
         context.read_up_to = bench.store.revision
@@ -54,7 +54,7 @@
     time.sleep(2.5)
 
     def turn() -> None:
-        bench.store.return_from(context.kept)
+        bench.store.restore_from(context.kept)
         _write(bench, _without(bench, KEY))
         for number in range(2 * NOISE):
             bench.store.put('noise', f'after-{number}', number)
@@ -68,10 +68,10 @@
     """Take the key away after the copy and wait until it is refused."""
     bench = direct_bench(context)
     context.key = KEY
-    kept = bench.on_loop(bench.store.copy)
+    kept = bench.on_loop(bench.store.snapshot)
     bench.on_loop(lambda: _write(bench, _without(bench, KEY)))
     bench.until(lambda: bench.ask().status == 401, 'a refused key')
-    bench.on_loop(lambda: bench.store.return_from(kept))
+    bench.on_loop(lambda: bench.store.restore_from(kept))
 
 
 @when('the operator writes the configuration again')
@@ -104,11 +104,11 @@
     """Remove the entry after the copy."""
     bench = direct_bench(context)
     router = bench.routers[0]
-    kept = bench.on_loop(bench.store.copy)
+    kept = bench.on_loop(bench.store.snapshot)
     bench.on_loop(lambda: bench.store.remove('servers', name))
     bench.until(lambda: name not in router.upstream_ids, 'a known removal')
     bench.upstreams[name].received.clear()
-    bench.on_loop(lambda: bench.store.return_from(kept))
+    bench.on_loop(lambda: bench.store.restore_from(kept))
 
 
 @then('no request reaches "{name}" for {span_s:d} s')
@@ -127,10 +127,10 @@
     """Register an upstream after the copy."""
     bench = direct_bench(context)
     router = bench.routers[0]
-    kept = bench.on_loop(bench.store.copy)
+    kept = bench.on_loop(bench.store.snapshot)
     bench.add_upstream(name, 'registry')
     bench.until(lambda: name in router.upstream_ids, 'a known upstream')
-    bench.on_loop(lambda: bench.store.return_from(kept))
+    bench.on_loop(lambda: bench.store.restore_from(kept))
 
 
 @when('upstream "{name}" writes its entry again {after_s:d} s later')
--- a/features/support/direct_bench.py
+++ b/features/support/direct_bench.py
@@ -18,10 +18,10 @@
 from lacewing_daemon.direct._settings import Bounds
 from lacewing_platform import PlatformSite
 from lacewing_platform import PlatformWire
-from lacewing_platform_testing import BORN
+from lacewing_platform_testing import FakeStore
+from lacewing_platform_testing import FakeUpstream
 from lacewing_platform_testing import free_ports
-from lacewing_platform_testing import StandInStore
-from lacewing_platform_testing import StandInUpstream
+from lacewing_platform_testing import PROCESS_START_MS
 from support.router_process import RouterProcess
 from tornado.netutil import bind_sockets
 
@@ -68,14 +68,14 @@
         self._sent = 0
         self.routers: list[DirectRouter] = []
         self.process: RouterProcess | None = None
-        self.upstreams: dict[str, StandInUpstream] = {}
+        self.upstreams: dict[str, FakeUpstream] = {}
         self.answers: list[Answer] = []
         self.config = _config()
         self.bounds = BOUNDS
         self.routers_call = False
         self.peer_ports_taken = False
         self._taken: list[socket.socket] = []
-        self.store: StandInStore = self.run(_start_store())
+        self.store: FakeStore = self.run(_start_store())
 
     @property
     def last_request(self) -> str:
@@ -105,10 +105,10 @@
         self.on_loop(lambda: self.store.put('config', 'main', self.config))
 
     def add_upstream(
-        self, name: str, service: str, born: int = BORN
-    ) -> StandInUpstream:
+        self, name: str, service: str, born: int = PROCESS_START_MS
+    ) -> FakeUpstream:
         """Start an upstream and register it."""
-        upstream = StandInUpstream(name, service)
+        upstream = FakeUpstream(name, service)
         upstream.born = born
         if service == 'models':
             upstream.weights[MODEL] = 1
@@ -119,13 +119,13 @@
 
     def register(self, name: str, state: str = 'ready') -> None:
         """Write an upstream's entry."""
-        entry = self.upstreams[name].entry(state)
+        entry = self.upstreams[name].store_entry(state)
         self.on_loop(lambda: self.store.put('servers', name, entry))
 
-    def start_again(self, name: str) -> StandInUpstream:
+    def start_again(self, name: str) -> FakeUpstream:
         """Start an upstream anew under its id and register it."""
         upstream = self.upstreams[name]
-        self.on_loop(upstream.start_again)
+        self.on_loop(upstream.start_new_incarnation)
         self.register(name)
         return upstream
 
@@ -331,8 +331,8 @@
     }
 
 
-async def _start_store() -> StandInStore:
-    store = StandInStore()
+async def _start_store() -> FakeStore:
+    store = FakeStore()
     store.server.start()
     return store
 
--- a/features/support/peers_bench.py
+++ b/features/support/peers_bench.py
@@ -172,7 +172,7 @@
     @property
     def reading(self) -> bool:
         """Tell whether it watches the platform."""
-        return self._platform is not None and self._platform.reading
+        return self._platform is not None and self._platform.is_reading
 
     async def listen(self, group: int) -> None:
         """Listen, without a word to anybody yet."""
--- a/packages/bench/src/lacewing_bench/capacity/_gossip.py
+++ b/packages/bench/src/lacewing_bench/capacity/_gossip.py
@@ -115,15 +115,15 @@
     # The records entered above count as news, told log(n) times each; a calm
     # fleet has some 800 changes a day and nothing to tell most of the time.
     for node in (caller, called):
-        while node._news.fill().records:
+        while node._news.make_request().records:
             pass
-    message = caller._news.fill()
+    message = caller._news.make_request()
     began_s = time.process_time()
     for _ in range(_CALLS):
         message = await _call(channels, server.address, caller)
     took_s = time.process_time() - began_s
     encode = msgspec.msgpack.encode
-    both = len(encode(caller._news.fill())) + len(encode(message))
+    both = len(encode(caller._news.make_request())) + len(encode(message))
     channels.close()
     server.stop()
     await server.wait_closed()
@@ -134,9 +134,9 @@
     channels: Channels, address: str, caller: PeerNode
 ) -> Exchange:
     answer = await channels.call(
-        address, EXCHANGE_METHOD, caller._news.fill(), Exchange, 5.0
+        address, EXCHANGE_METHOD, caller._news.make_request(), Exchange, 5.0
     )
     if isinstance(answer, NoReply):
         raise RuntimeError(answer.message)
-    caller._news.hear(answer)
+    caller._news.apply(answer)
     return answer
--- a/packages/bench/src/lacewing_bench/peers_cost.py
+++ b/packages/bench/src/lacewing_bench/peers_cost.py
@@ -146,7 +146,7 @@
 
 async def _told(first: _Peer, second: _Peer) -> None:
     """Wait until the news of the start has been told often enough."""
-    while first.node.untold or second.node.untold:
+    while first.node.pending_updates or second.node.pending_updates:
         await asyncio.sleep(0.1)
 
 
--- a/packages/daemon/src/lacewing_daemon/_serve.py
+++ b/packages/daemon/src/lacewing_daemon/_serve.py
@@ -145,7 +145,7 @@
     async def _look_around(self) -> None:
         """Learn members and bundle before serving, best from peers."""
         await self._node.discover()
-        if self._reader is None or self._node.knows_others:
+        if self._reader is None or self._node.has_peers:
             return
         await self._reader.read_members()
         await self._node.discover()
--- a/packages/daemon/src/lacewing_daemon/direct/_attempt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_attempt.py
@@ -224,7 +224,7 @@
                 broken=self._broken,
                 opened_s=self._opened_s,
             )
-        if not head.authenticated:
+        if not head.is_signed:
             return AttemptEnd(
                 Verdict.MAY_HAVE_RUN, Reason.WORKER_FAILED, head, body, True
             )
@@ -238,4 +238,4 @@
 
 
 def _is_good(head: ReplyHead) -> bool:
-    return head.status in _SUCCESS and head.authenticated
+    return head.status in _SUCCESS and head.is_signed
--- a/packages/daemon/src/lacewing_daemon/direct/_send.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_send.py
@@ -271,7 +271,7 @@
         self._fleet.silence_detector.data_received(
             self._state, time.monotonic()
         )
-        if not self._admitted.route.streams and head.authenticated:
+        if not self._admitted.route.streams and head.is_signed:
             self._begin()
         if self._answered_by_another(head):
             # What it tells is true of itself alone.
--- a/packages/daemon/src/lacewing_daemon/direct/_site.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_site.py
@@ -231,7 +231,7 @@
 
     ``not_run``: the upstream says that it did not run the request.
     ``other_upstream``: another incarnation answered, and ran nothing.
-    ``authenticated``: the answer carries the upstream's signature.
+    ``is_signed``: the answer carries the upstream's signature.
     ``answered_by`` is the id of the upstream that answered, '' if not told.
     """
 
@@ -239,7 +239,7 @@
     request_id: str
     not_run: bool
     misdirected: bool
-    authenticated: bool
+    is_signed: bool
     closing: bool
     keep_alive_s: float | None
     load: UpstreamLoad | None
--- a/packages/daemon/src/lacewing_daemon/peers/_dissemination.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_dissemination.py
@@ -14,7 +14,7 @@
 _REPEATS = 3
 
 
-class Rumors(Generic[K]):
+class DisseminationQueue(Generic[K]):
     """Hold the keys of what is still to be told."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         """Tell a key anew, as often as the fleet's size needs."""
         self._left[key] = _REPEATS * max(1, ceil(log2(fleet_size + 1)))
 
-    def take(self, limit: int) -> list[K]:
+    def next_batch(self, limit: int) -> list[K]:
         """Return the keys told least so far and count them as told."""
         chosen = sorted(self._left, key=self._told_least)[:limit]
         for key in chosen:
--- a/packages/daemon/src/lacewing_daemon/peers/_document_watcher.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_document_watcher.py
@@ -26,7 +26,7 @@
 _log = get_log(Part.PLATFORM)
 
 
-class HeadWatch:
+class DocumentWatcher:
     """Take each new head of a document, and the parts it lacks."""
 
     def __init__(
@@ -43,7 +43,7 @@
         if isinstance(answer, StoredObject):
             await self._take(name, answer)
 
-    async def follow(self, name: DocumentName) -> None:
+    async def watch(self, name: DocumentName) -> None:
         """Watch a document until cancelled."""
         failing = False
         watch = self._platform.watch(HEADS, head_object(name), 0)
--- a/packages/daemon/src/lacewing_daemon/peers/_election.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_election.py
@@ -13,12 +13,12 @@
 _ISOLATED_AFTER = 10.0
 
 
-class Duty(Enum):
+class ReaderRole(Enum):
     """Tell how a process reads from the platform."""
 
     READ = 'read'
     LISTEN = 'listen'
-    ALONE = 'alone'
+    ISOLATED = 'alone'
 
 
 class Election:
@@ -38,30 +38,30 @@
         self._began_s = clock.now_s
 
     @property
-    def known(self) -> int:
+    def known_count(self) -> int:
         """Return the number of processes known, dead ones among them."""
         return len(self._table.all())
 
-    def duty(self, heard_at_s: float) -> Duty:
+    def role(self, last_contact_s: float) -> ReaderRole:
         """Return the duty of this process.
 
-        ``heard_at_s`` is the running-clock time of the last message from a
+        ``last_contact_s`` is the running-clock time of the last message from a
         peer.
         """
-        if self.known == 1:
-            return Duty.READ
-        silent_s = self._clock.now_s - max(heard_at_s, self._began_s)
+        if self.known_count == 1:
+            return ReaderRole.READ
+        silent_s = self._clock.now_s - max(last_contact_s, self._began_s)
         if silent_s > _ISOLATED_AFTER * self._settings.exchange_s:
-            return Duty.ALONE
+            return ReaderRole.ISOLATED
         if self._rank() < self._settings.readers:
-            return Duty.READ
-        return Duty.LISTEN
+            return ReaderRole.READ
+        return ReaderRole.LISTEN
 
     def _rank(self) -> int:
-        me = self._table.me
+        me = self._table.own_record
         mine = _weight(me.process_id)
         rank = 0
-        for record in self._table.others():
+        for record in self._table.live_peers():
             if record.region != me.region or record.leaving:
                 continue
             if _weight(record.process_id) < mine:
--- a/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
@@ -60,7 +60,7 @@
         """Tell whether a fetch is under way."""
         return bool(self._tasks)
 
-    def hear(self, address: str, notes: Iterable[HeadNote]) -> None:
+    def offer(self, address: str, notes: Iterable[HeadNote]) -> None:
         """Fetch what a peer holds in a higher version."""
         for note in notes:
             if note.version <= self._replicas.version(note.document):
@@ -74,7 +74,7 @@
                 task = asyncio.create_task(self._run(note.document))
                 self._tasks[note.document] = task
 
-    async def settle(self, longest_s: float) -> None:
+    async def wait_idle(self, longest_s: float) -> None:
         """Wait until no fetch is under way."""
         tasks = list(self._tasks.values())
         if tasks:
--- a/packages/daemon/src/lacewing_daemon/peers/_gossip.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_gossip.py
@@ -25,10 +25,10 @@
 from lacewing_daemon.peers._channels import NoReply
 from lacewing_daemon.peers._metrics import EXCHANGES
 from lacewing_daemon.peers._metrics import MEMBERS
-from lacewing_daemon.peers._news import News
 from lacewing_daemon.peers._partners import Partners
 from lacewing_daemon.peers._running_clock import RunningClock
 from lacewing_daemon.peers._table import MemberTable
+from lacewing_daemon.peers._updates import GossipUpdates
 
 FANOUT = 3
 _HELPERS = 3
@@ -51,7 +51,7 @@
         self,
         settings: PeerSettings,
         table: MemberTable,
-        news: News,
+        updates: GossipUpdates,
         partners: Partners,
         channels: Channels,
         rng: Random,
@@ -61,7 +61,7 @@
         self._clock = clock
         self._settings = settings
         self._table = table
-        self._news = news
+        self._news = updates
         self._partners = partners
         self._channels = channels
         self._rng = rng
@@ -73,7 +73,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def answered_at_s(self) -> float:
+    def last_answer_s(self) -> float:
         """Return the running-clock time of the last answer of a peer."""
         return self._answered_at_s
 
@@ -92,7 +92,7 @@
             if any(answered) or not calls:
                 return
 
-    def meet(self) -> None:
+    def contact_new(self) -> None:
         """Call a few of the addresses that were never called."""
         strangers = self._strangers()
         self._met.intersection_update(strangers)
@@ -108,7 +108,7 @@
                 await self._sleep(self._settings.exchange_s)
                 self._confirm_suspects()
                 self._channels.close_idle()
-                self._table.forget_dead()
+                self._table.remove_dead()
                 self._show_counts()
                 self._call_next()
         finally:
@@ -119,15 +119,15 @@
         while True:
             await self._news.urgent.wait()
             self._news.urgent.clear()
-            for record in self._partners.some(FANOUT):
+            for record in self._partners.sample(FANOUT):
                 self._spawn(self._exchange(record))
             # Changes that come together are told together.
             await asyncio.sleep(0.05 * self._settings.exchange_s)
 
-    async def tell_now(self) -> None:
+    async def flush(self) -> None:
         """Tell the news to a few peers and wait for their answers."""
         calls = []
-        for record in self._partners.some(FANOUT):
+        for record in self._partners.sample(FANOUT):
             calls.append(self._exchange(record))
         await asyncio.gather(*calls)
 
@@ -166,9 +166,9 @@
         Without the dead among them two halves of a fleet that lost each
         other for long would never meet again.
         """
-        living = {record.address for record in self._table.others()}
-        living.add(self._table.me.address)
-        found = {record.address for record in self._table.dead()}
+        living = {record.address for record in self._table.live_peers()}
+        living.add(self._table.own_record.address)
+        found = {record.address for record in self._table.dead_members()}
         found.update(self._contacts())
         return sorted(found - living)
 
@@ -194,7 +194,7 @@
         answer = await self._channels.call(
             address,
             EXCHANGE_METHOD,
-            self._news.fill(record or self._dead_at(address)),
+            self._news.make_request(record or self._dead_at(address)),
             Exchange,
             self._clock.extend_timeout(self._settings.probe_s),
         )
@@ -204,14 +204,14 @@
             return False
         EXCHANGES.labels('answered').inc()
         self._answered_at_s = self._clock.now_s
-        self._news.hear(answer)
+        self._news.apply(answer)
         self._note_owner(record, answer.sender)
         if answer.table_hash != self._table.hash:
             await self._pull_table(address)
         return True
 
     def _dead_at(self, address: str) -> MemberRecord | None:
-        for record in self._table.dead():
+        for record in self._table.dead_members():
             if record.address == address:
                 return record
         return None
@@ -233,7 +233,7 @@
         one suspect all of the other.
         """
         calls = []
-        for helper in self._partners.some(_HELPERS, record.process_id):
+        for helper in self._partners.sample(_HELPERS, record.process_id):
             calls.append(self._probe_through(helper, record))
         if any(await asyncio.gather(*calls)):
             return
@@ -281,7 +281,7 @@
             if isinstance(answer, NoReply):
                 return
             before = self._table.bucket_hashes
-            self._news.hear_table(answer)
+            self._news.apply_table(answer)
             if self._table.bucket_hashes == before:
                 return
 
--- a/packages/daemon/src/lacewing_daemon/peers/_members.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_members.py
@@ -7,8 +7,8 @@
 from lacewing_common.wire_peers import Liveness
 from lacewing_common.wire_peers import MemberRecord
 
-from lacewing_daemon.peers._notes import VmNotes
 from lacewing_daemon.peers._table import MemberTable
+from lacewing_daemon.peers._vm_notes import VmNotes
 
 # An incarnation holds the milliseconds of its start above 12 random bits.
 _INCARNATION_BITS = 12
--- a/packages/daemon/src/lacewing_daemon/peers/_node.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_node.py
@@ -22,13 +22,13 @@
 from lacewing_daemon.peers._fetcher import Fetcher
 from lacewing_daemon.peers._gossip import Gossip
 from lacewing_daemon.peers._members import GossipMembers
-from lacewing_daemon.peers._news import News
-from lacewing_daemon.peers._notes import VmNotes
 from lacewing_daemon.peers._partners import Partners
 from lacewing_daemon.peers._replicas import Replicas
 from lacewing_daemon.peers._running_clock import RunningClock
 from lacewing_daemon.peers._service import PeerService
 from lacewing_daemon.peers._table import MemberTable
+from lacewing_daemon.peers._updates import GossipUpdates
+from lacewing_daemon.peers._vm_notes import VmNotes
 
 # A process that starts waits for its peers' documents, or callers would find
 # it without any. A large one on a narrow link may take longer than callers
@@ -63,7 +63,7 @@
             channels = Channels(client_context(settings))
         self._channels = channels
         self._fetcher = Fetcher(self._replicas, self._channels, rng)
-        self._news = News(
+        self._news = GossipUpdates(
             self._table,
             self._notes,
             self._replicas,
@@ -129,9 +129,9 @@
         return self._table.counts
 
     @property
-    def heard_at_s(self) -> float:
+    def last_contact_s(self) -> float:
         """Return the ``clock`` time of the last call or answer of a peer."""
-        return max(self._gossip.answered_at_s, self._service.heard_at_s)
+        return max(self._gossip.last_answer_s, self._service.heard_at_s)
 
     @property
     def clock(self) -> RunningClock:
@@ -139,23 +139,23 @@
         return self._clock
 
     @property
-    def untold(self) -> int:
+    def pending_updates(self) -> int:
         """Return how many pieces of news are still being told."""
-        return self._news.untold
+        return self._news.pending_count
 
     @property
-    def knows_others(self) -> bool:
+    def has_peers(self) -> bool:
         """Tell whether any other process is known."""
-        return bool(self._table.others())
+        return bool(self._table.live_peers())
 
-    def meet(self) -> None:
+    def contact_new(self) -> None:
         """Call the addresses that were not known before."""
-        self._gossip.meet()
+        self._gossip.contact_new()
 
     async def discover(self) -> None:
         """Learn members and documents from a few peers before serving."""
         await self._gossip.discover()
-        await self._fetcher.settle(FIRST_FETCH_S)
+        await self._fetcher.wait_idle(FIRST_FETCH_S)
 
     def start(self, address: str) -> None:
         """Join the fleet under the address of the listener for peers."""
@@ -165,8 +165,8 @@
 
     async def leave(self) -> None:
         """Tell a few peers that this process takes no new work."""
-        self._table.leave()
-        await self._gossip.tell_now()
+        self._table.mark_leaving()
+        await self._gossip.flush()
 
     async def close(self) -> None:
         """Stop exchanging and close the connections."""
--- a/packages/daemon/src/lacewing_daemon/peers/_partners.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_partners.py
@@ -58,7 +58,7 @@
         self._current.append(process_id)
         return self._table.get(process_id)
 
-    def some(self, count: int, without: str = '') -> list[MemberRecord]:
+    def sample(self, count: int, without: str = '') -> list[MemberRecord]:
         """Return up to ``count`` partners at random that seem alive."""
         self._drop_lost()
         self._fill()
@@ -82,9 +82,9 @@
     def _fill(self) -> None:
         if len(self._current) >= PARTNERS:
             return
-        me = self._table.me
+        me = self._table.own_record
         free: dict[Proximity, list[MemberRecord]] = {}
-        for record in self._table.others():
+        for record in self._table.live_peers():
             if record.process_id not in self._current and record.address:
                 free.setdefault(proximity(me, record), []).append(record)
         held: list[MemberRecord] = []
--- a/packages/daemon/src/lacewing_daemon/peers/_reader.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_reader.py
@@ -12,9 +12,9 @@
 from lacewing_common.settings import PeerSettings
 from lacewing_common.store import ObjectReads
 
-from lacewing_daemon.peers._election import Duty
+from lacewing_daemon.peers._document_watcher import DocumentWatcher
 from lacewing_daemon.peers._election import Election
-from lacewing_daemon.peers._head_watch import HeadWatch
+from lacewing_daemon.peers._election import ReaderRole
 from lacewing_daemon.peers._node import PeerNode
 from lacewing_daemon.peers._vm_list import TakeList
 from lacewing_daemon.peers._vm_list import VmListReader
@@ -52,17 +52,17 @@
         self._follow = follow
         self._rng = rng
         self._election = Election(settings, node.table, node.clock)
-        self._heads = HeadWatch(platform, node.documents, rng)
+        self._heads = DocumentWatcher(platform, node.documents, rng)
         self._vm_list = VmListReader(
             platform, node.vm_notes, take_list, settings.vm_list_s, rng
         )
         self._take_list = take_list
         self._listened = 0
-        self._logged_duty: Duty | None = None
+        self._logged_duty: ReaderRole | None = None
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     @property
-    def reading(self) -> bool:
+    def is_reading(self) -> bool:
         """Tell whether this process watches the platform now."""
         return bool(self._tasks)
 
@@ -76,7 +76,7 @@
             async with asyncio.timeout(_FIRST_READ_S):
                 await self._vm_list.read()
         except TimeoutError:
-            self._vm_list.note_failure('no answer in time for the start')
+            self._vm_list.log_failure('no answer in time for the start')
 
     async def run(self, contacts: int) -> None:
         """Read as duty asks until cancelled.
@@ -93,30 +93,30 @@
             await self._stop_all()
 
     async def _do_duty(self) -> None:
-        duty = self._election.duty(self._node.heard_at_s)
+        duty = self._election.role(self._node.last_contact_s)
         self._log_duty_change(duty)
-        if duty is Duty.READ:
+        if duty is ReaderRole.READ:
             self._start_all()
         else:
             await self._stop_all()
-        if duty is Duty.LISTEN:
+        if duty is ReaderRole.LISTEN:
             self._age_list()
         else:
             self._listened = 0
-        if duty is Duty.ALONE:
+        if duty is ReaderRole.ISOLATED:
             await self._read_alone()
             return
         await asyncio.sleep(self._settings.exchange_s)
 
-    def _log_duty_change(self, duty: Duty) -> None:
+    def _log_duty_change(self, duty: ReaderRole) -> None:
         if duty is self._logged_duty:
             return
         self._logged_duty = duty
         counts = self._node.counts
         _log.info(
-            'Duty changed.',
+            'ReaderRole changed.',
             duty=duty.value,
-            member=self._node.table.me.process_id,
+            member=self._node.table.own_record.process_id,
             alive=counts.alive,
             suspect=counts.suspect,
             dead=counts.dead,
@@ -140,9 +140,12 @@
         reads together would stay at a fixed rate whatever their number.
         """
         least_s = _LEAST_ALONE_S * self._settings.exchange_s
-        mean_s = max(least_s, self._election.known / _ALONE_READS_PER_S)
+        mean_s = max(least_s, self._election.known_count / _ALONE_READS_PER_S)
         await asyncio.sleep(mean_s * self._rng.uniform(0.5, 1.5))
-        if self._election.duty(self._node.heard_at_s) is not Duty.ALONE:
+        if (
+            self._election.role(self._node.last_contact_s)
+            is not ReaderRole.ISOLATED
+        ):
             return
         for name in self._follow():
             await self._heads.read(name)
@@ -151,7 +154,7 @@
     def _start_all(self) -> None:
         wanted = {self._key(name): name for name in self._follow()}
         for key, name in wanted.items():
-            self._start(key, self._heads.follow(name))
+            self._start(key, self._heads.watch(name))
         self._start('vm-list', self._poll_vms())
         for key in list(self._tasks):
             if key != 'vm-list' and key not in wanted:
@@ -174,7 +177,7 @@
     async def _poll_vms(self) -> None:
         while True:
             await self._vm_list.read()
-            self._node.meet()
+            self._node.contact_new()
             await asyncio.sleep(self._vm_list.pause_s())
 
     def _key(self, name: DocumentName) -> str:
--- a/packages/daemon/src/lacewing_daemon/peers/_replicas.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_replicas.py
@@ -40,9 +40,11 @@
     @property
     def hash(self) -> int:
         """Return a hash over the versions of all documents held."""
-        return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(self.notes()))
+        return xxhash.xxh3_64_intdigest(
+            msgspec.msgpack.encode(self.head_notes())
+        )
 
-    def notes(self) -> tuple[HeadNote, ...]:
+    def head_notes(self) -> tuple[HeadNote, ...]:
         """Return the version of each document held, in a fixed order."""
         found: list[HeadNote] = []
         for head in self.heads():
--- a/packages/daemon/src/lacewing_daemon/peers/_service.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_service.py
@@ -22,12 +22,12 @@
 
 from lacewing_daemon.peers._channels import Channels
 from lacewing_daemon.peers._channels import NoReply
-from lacewing_daemon.peers._news import News
-from lacewing_daemon.peers._notes import VmNotes
 from lacewing_daemon.peers._replicas import Replicas
 from lacewing_daemon.peers._running_clock import RunningClock
 from lacewing_daemon.peers._table import BUCKETS
 from lacewing_daemon.peers._table import MemberTable
+from lacewing_daemon.peers._updates import GossipUpdates
+from lacewing_daemon.peers._vm_notes import VmNotes
 
 # About 20 KB, so that a cold process has 1,220 members after ten calls and
 # no reply takes the three seconds' allowance of the peer that gives it.
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        news: News,
+        news: GossipUpdates,
         table: MemberTable,
         notes: VmNotes,
         replicas: Replicas,
@@ -73,7 +73,7 @@
         if call is None:
             return
         self.heard_at_s = self._clock.now_s
-        await stream.send_message(self._news.reply(call))
+        await stream.send_message(self._news.make_reply(call))
 
     async def _probe(self, stream: Stream[Probe, ProbeReply]) -> None:
         call = await stream.recv_message()
@@ -82,14 +82,14 @@
         answer = await self._channels.call(
             call.address,
             EXCHANGE_METHOD,
-            self._news.fill(),
+            self._news.make_request(),
             Exchange,
             self._clock.extend_timeout(self._probe_timeout_s),
         )
         if isinstance(answer, NoReply):
             await stream.send_message(ProbeReply(False))
             return
-        self._news.hear(answer)
+        self._news.apply(answer)
         await stream.send_message(ProbeReply(True))
 
     async def _give_table(
@@ -99,7 +99,9 @@
         if call is None:
             return
         first = self._rng.randrange(BUCKETS)
-        records = self._table.differing(call.hashes, _MAX_TABLE_RECORDS, first)
+        records = self._table.records_in_differing_buckets(
+            call.hashes, _MAX_TABLE_RECORDS, first
+        )
         await stream.send_message(TableReply(records, self._notes.all()))
 
     async def _fetch(self, stream: Stream[Fetch, Fetched]) -> None:
--- a/packages/daemon/src/lacewing_daemon/peers/_table.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_table.py
@@ -57,7 +57,7 @@
         self._count(me)
 
     @property
-    def me(self) -> MemberRecord:
+    def own_record(self) -> MemberRecord:
         """Return the record of this process."""
         return self._me
 
@@ -87,7 +87,7 @@
         )
 
     @property
-    def living(self) -> int:
+    def live_count(self) -> int:
         """Return the number of members that are not dead."""
         return len(self._records) - len(self._dead)
 
@@ -99,7 +99,7 @@
         """Return all records."""
         return tuple(self._records.values())
 
-    def others(self) -> list[MemberRecord]:
+    def live_peers(self) -> list[MemberRecord]:
         """Return the members that are not dead, without this process."""
         found: list[MemberRecord] = []
         for record in self._records.values():
@@ -109,7 +109,7 @@
                 found.append(record)
         return found
 
-    def dead(self) -> list[MemberRecord]:
+    def dead_members(self) -> list[MemberRecord]:
         """Return the members thought dead and not yet forgotten."""
         return [self._records[each] for each in self._dead]
 
@@ -131,7 +131,7 @@
                 found.append(self._records[process_id])
         return found
 
-    def differing(
+    def records_in_differing_buckets(
         self, hashes: tuple[int, ...], limit: int, first: int
     ) -> tuple[MemberRecord, ...]:
         """Return records of the parts whose hashes differ.
@@ -165,7 +165,7 @@
         # this process through it, and the tables would differ for ever.
         self._replace_me(address=address, revision=self._me.revision + 1)
 
-    def leave(self) -> None:
+    def mark_leaving(self) -> None:
         """Say that this process takes no new work."""
         if not self._me.leaving:
             self._replace_me(leaving=True, revision=self._me.revision + 1)
@@ -201,10 +201,10 @@
         for process_id in self._changed_at_s:
             self._changed_at_s[process_id] = now_s
 
-    def forget_dead(self) -> None:
+    def remove_dead(self) -> None:
         """Drop members that have long been dead."""
         before_s = self._clock() - _FORGET_DEAD_S
-        for record in self.dead():
+        for record in self.dead_members():
             if self._changed_at_s[record.process_id] < before_s:
                 self._uncount(record)
                 del self._records[record.process_id]
--- a/packages/daemon/src/lacewing_daemon/peers/_updates.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_updates.py
@@ -11,11 +11,11 @@
 from lacewing_common.wire_peers import TableReply
 from lacewing_common.wire_peers import VmNote
 
+from lacewing_daemon.peers._dissemination import DisseminationQueue
 from lacewing_daemon.peers._fetcher import Fetcher
-from lacewing_daemon.peers._notes import VmNotes
 from lacewing_daemon.peers._replicas import Replicas
-from lacewing_daemon.peers._rumors import Rumors
 from lacewing_daemon.peers._table import MemberTable
+from lacewing_daemon.peers._vm_notes import VmNotes
 
 _MAX_RECORDS = 8
 _MAX_NOTES = 8
@@ -23,7 +23,7 @@
 _MAX_RECENT_HEADS = 8
 
 
-class News:
+class GossipUpdates:
     """Fill and read exchanges; set ``urgent`` for what must not wait.
 
     A leaving process or VM, a refutation and a new document are told at
@@ -42,8 +42,8 @@
         self._notes = notes
         self._replicas = replicas
         self._fetcher = fetcher
-        self._records: Rumors[str] = Rumors()
-        self._vm_notes: Rumors[str] = Rumors()
+        self._records: DisseminationQueue[str] = DisseminationQueue()
+        self._vm_notes: DisseminationQueue[str] = DisseminationQueue()
         self._accepted_at_s: dict[HeadNote, float] = {}
         self._leaving: set[str] = set()
         self._recent_s = _RECENT_HEAD_PERIODS * exchange_s
@@ -54,24 +54,24 @@
         replicas.on_accept(self._accepted)
 
     @property
-    def untold(self) -> int:
+    def pending_count(self) -> int:
         """Return how many pieces of news are still being told."""
         heads = len(self._recent_heads())
         return len(self._records) + len(self._vm_notes) + heads
 
-    def fill(self, peer: MemberRecord | None = None) -> Exchange:
+    def make_request(self, peer: MemberRecord | None = None) -> Exchange:
         """Make the message of a call to a peer."""
         return self._message(self._recent_heads(), peer)
 
-    def reply(self, call: Exchange) -> Exchange:
+    def make_reply(self, call: Exchange) -> Exchange:
         """Take a call's message and make the reply."""
-        self.hear(call)
+        self.apply(call)
         heads: tuple[HeadNote, ...] = ()
         if call.heads_hash != self._replicas.hash:
-            heads = self._replicas.notes()
+            heads = self._replicas.head_notes()
         return self._message(heads, call.sender)
 
-    def hear(self, message: Exchange) -> None:
+    def apply(self, message: Exchange) -> None:
         """Take what a peer told."""
         self._table.merge_all(message.records)
         self._notes.merge_all(message.vm_notes)
@@ -79,9 +79,9 @@
         if sender is None or not sender.address:
             return
         self._table.merge(sender)
-        self._fetcher.hear(sender.address, message.heads)
+        self._fetcher.offer(sender.address, message.heads)
 
-    def hear_table(self, reply: TableReply) -> None:
+    def apply_table(self, reply: TableReply) -> None:
         """Take a piece of a peer's table, and tell none of it on.
 
         It is no news to others. Told on, the table of a cold process would
@@ -103,16 +103,16 @@
             # Whoever is thought dead hears it from nobody else, as nobody
             # calls it; without this it could never refute.
             records.append(doubted)
-        for process_id in self._records.take(_MAX_RECORDS):
+        for process_id in self._records.next_batch(_MAX_RECORDS):
             record = self._table.get(process_id)
             if record is not None:
                 records.append(record)
         notes: list[VmNote] = []
-        for address in self._vm_notes.take(_MAX_NOTES):
+        for address in self._vm_notes.next_batch(_MAX_NOTES):
             note = self._notes.get(address)
             if note is not None:
                 notes.append(note)
-        me = self._table.me
+        me = self._table.own_record
         return Exchange(
             me if me.address else None,
             tuple(records),
@@ -132,9 +132,9 @@
         return tuple(recent[-_MAX_RECENT_HEADS:])
 
     def _record_changed(self, record: MemberRecord) -> None:
-        is_me = record.process_id == self._table.me.process_id
+        is_me = record.process_id == self._table.own_record.process_id
         if is_me or not self._repairing:
-            self._records.add(record.process_id, self._table.living)
+            self._records.add(record.process_id, self._table.live_count)
         left_now = record.leaving and record.process_id not in self._leaving
         if left_now:
             self._leaving.add(record.process_id)
@@ -144,7 +144,7 @@
             self.urgent.set()
 
     def _note_changed(self, note: VmNote) -> None:
-        self._vm_notes.add(note.address, self._table.living)
+        self._vm_notes.add(note.address, self._table.live_count)
         self.urgent.set()
 
     def _accepted(self, head: DocumentHead) -> None:
--- a/packages/daemon/src/lacewing_daemon/peers/_vm_list.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_vm_list.py
@@ -12,7 +12,7 @@
 from lacewing_common.store import Vm
 from lacewing_common.store import VmState
 
-from lacewing_daemon.peers._notes import VmNotes
+from lacewing_daemon.peers._vm_notes import VmNotes
 
 _JITTER = 0.25
 _RETRY_BASE_S = 2.0
@@ -51,7 +51,7 @@
         """Read the list once."""
         answer = await self._platform.vms()
         if isinstance(answer, StoreError):
-            self.note_failure(answer.message)
+            self.log_failure(answer.message)
             return
         if self._failing:
             _log.info('VM list read again.', vms=len(answer))
@@ -62,7 +62,7 @@
             self._note_change(vm)
         self._states = {vm.address: vm.state for vm in answer}
 
-    def note_failure(self, message: str) -> None:
+    def log_failure(self, message: str) -> None:
         """Log the first of a row of failures."""
         if not self._failing:
             _log.warning('VM list not read.', error=message)
@@ -82,5 +82,5 @@
             changed = leaving and self._notes.get(vm.address) is None
         else:
             changed = before is not vm.state
-        if changed and self._notes.leaving(vm.address) is not leaving:
-            self._notes.see(vm.address, leaving)
+        if changed and self._notes.is_leaving(vm.address) is not leaving:
+            self._notes.observe(vm.address, leaving)
--- a/packages/daemon/src/lacewing_daemon/peers/_vm_notes.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_vm_notes.py
@@ -29,7 +29,7 @@
         """Return the note on an address."""
         return self._notes.get(address)
 
-    def leaving(self, address: str) -> bool:
+    def is_leaving(self, address: str) -> bool:
         """Tell whether the list says that the VM is leaving."""
         note = self._notes.get(address)
         return note is not None and note.leaving
@@ -56,7 +56,7 @@
             callback(note)
         return True
 
-    def see(self, address: str, leaving: bool) -> bool:
+    def observe(self, address: str, leaving: bool) -> bool:
         """Note what this process just read in the list."""
         return self.merge(VmNote(address, leaving, _now_ms()))
 
--- a/packages/daemon/src/lacewing_daemon/placement/_members.py
+++ b/packages/daemon/src/lacewing_daemon/placement/_members.py
@@ -22,12 +22,12 @@
     @property
     def me(self) -> MemberRecord:
         """Return the record of this process."""
-        return self._node.table.me
+        return self._node.table.own_record
 
     def alive(self) -> tuple[MemberRecord, ...]:
         """Return the members, this one among them; the leaving left out."""
         found: dict[str, MemberRecord] = {}
-        for record in (self.me, *self._node.table.others()):
+        for record in (self.me, *self._node.table.live_peers()):
             if record.role is not Role.AGENT or record.leaving:
                 continue
             if record.service != self._service:
