--- a/features/steps/direct_load_steps.py
+++ b/features/steps/direct_load_steps.py
@@ -11,7 +11,7 @@
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._choice import EngineView
 from lacewing_daemon.direct._choice import NoCapacity
-from lacewing_daemon.direct._choice import place
+from lacewing_daemon.direct._choice import place_prompt
 from lacewing_daemon.direct._loading import EngineWeights
 from lacewing_daemon.direct._loading import next_loads
 from lacewing_daemon.direct._policy import LoadPolicy
@@ -83,7 +83,7 @@
                     len(sent),
                 )
             )
-        placed = place(views, left_ms, self._policy)
+        placed = place_prompt(views, left_ms, self._policy)
         if isinstance(placed, NoCapacity):
             return None
         chosen = int(placed.upstream_id)
@@ -188,7 +188,7 @@
 def step_wants(context: Context, read_ms: int, left_ms: int) -> None:
     """Place it."""
     view = EngineView('a', True, context.busy_ms, float(read_ms), 0, 0)
-    context.placed = place([view], float(left_ms), LoadPolicy())
+    context.placed = place_prompt([view], float(left_ms), LoadPolicy())
 
 
 @then('it is refused with room after at least {room_ms:d} ms')
@@ -213,7 +213,7 @@
 @when('a prompt is placed')
 def step_place(context: Context) -> None:
     """Place a prompt."""
-    context.placed = place(context.views, 400.0, LoadPolicy())
+    context.placed = place_prompt(context.views, 400.0, LoadPolicy())
 
 
 @then('it goes to the {chosen} zone')
--- a/features/steps/load_times_steps.py
+++ b/features/steps/load_times_steps.py
@@ -5,7 +5,7 @@
 from behave import when
 from behave.runner import Context
 from lacewing_daemon.direct._choice import EngineView
-from lacewing_daemon.direct._choice import place
+from lacewing_daemon.direct._choice import place_prompt
 from lacewing_daemon.direct._loading import load_schedule
 from lacewing_daemon.direct._policy import LoadPolicy
 
@@ -103,7 +103,7 @@
 @when('a prompt of {tokens:d} answer tokens is placed')
 def step_place(context: Context, tokens: int) -> None:
     """Place it with time enough for either engine."""
-    context.placed = place(context.views, WANTED_MS, POLICY, tokens)
+    context.placed = place_prompt(context.views, WANTED_MS, POLICY, tokens)
 
 
 @then('the {chosen} engine gets it')
--- a/features/steps/peer_calls_steps.py
+++ b/features/steps/peer_calls_steps.py
@@ -13,8 +13,8 @@
 from lacewing_daemon.direct.crashes._messages import CrashReport
 from lacewing_daemon.direct.crashes._messages import CrashReportAck
 from lacewing_daemon.direct.crashes._messages import TELL_METHOD
-from lacewing_daemon.peers import Channels
-from lacewing_daemon.peers import NoReply
+from lacewing_daemon.peers import PeerCallFailed
+from lacewing_daemon.peers import PeerChannels
 from lacewing_platform_testing import free_ports
 
 TIMEOUT_S = 5.0
@@ -54,7 +54,7 @@
 async def _lost() -> bool:
     server = await asyncio.start_server(_break_off, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    channels = Channels(None)
+    channels = PeerChannels(None)
     call = asyncio.create_task(_tell(channels, port, TIMEOUT_S))
     await asyncio.wait((call,))
     channels.close()
@@ -88,18 +88,18 @@
     server = Server([_SlowPeer()], codec=MsgpackCodec())
     port = free_ports()
     await server.start('127.0.0.1', port)
-    channels = Channels(None)
+    channels = PeerChannels(None)
     answers = await asyncio.gather(
         _tell(channels, port, UNDER_WAY_S), _tell(channels, port, TIMEOUT_S)
     )
     channels.close()
     server.close()
     await server.wait_closed()
-    assert isinstance(answers[0], NoReply), answers[0]
+    assert isinstance(answers[0], PeerCallFailed), answers[0]
     return answers[1]
 
 
-async def _tell(channels: Channels, port: int, timeout_s: float) -> object:
+async def _tell(channels: PeerChannels, port: int, timeout_s: float) -> object:
     address = f'127.0.0.1:{port}'
     told = CrashReport('', ())
     return await channels.call(
@@ -116,7 +116,7 @@
 async def _cancelled() -> bool:
     server = await asyncio.start_server(_read_on, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    channels = Channels(None)
+    channels = PeerChannels(None)
     call = asyncio.create_task(_tell(channels, port, TIMEOUT_S))
     await asyncio.sleep(UNDER_WAY_S)
     call.cancel()
--- a/features/steps/peers_narrow_steps.py
+++ b/features/steps/peers_narrow_steps.py
@@ -15,8 +15,8 @@
 from lacewing_common.wire_peers import Fetch
 from lacewing_common.wire_peers import Fetched
 from lacewing_common.wire_peers import HeadNote
-from lacewing_daemon.peers import Channels
-from lacewing_daemon.peers import NoReply
+from lacewing_daemon.peers import PeerCallFailed
+from lacewing_daemon.peers import PeerChannels
 from lacewing_daemon.peers._fetcher import Fetcher
 from lacewing_daemon.peers._replicas import Replicas
 
@@ -25,7 +25,7 @@
 MOST_BYTES = 256 * 1024
 
 
-class SlowPeer(Channels):
+class SlowPeer(PeerChannels):
     """Answer fetches as a peer over a link, without taking time."""
 
     def __init__(self, parts: list[bytes]) -> None:
@@ -49,7 +49,7 @@
         assert isinstance(request, Fetch)
         self.patience_s.append(timeout_s)
         if self.fails_every and not len(self.patience_s) % self.fails_every:
-            return NoReply('fails')
+            return PeerCallFailed('fails')
         sent: list[str] = []
         size = 0
         for digest in request.digests:
@@ -59,7 +59,7 @@
             sent.append(digest)
             size += len(part)
         if size / self.bytes_s > timeout_s:
-            return NoReply('late')
+            return PeerCallFailed('late')
         self.came.extend(sent)
         parts = tuple(self._parts[digest] for digest in sent)
         return Fetched(self.head, parts)
--- a/features/steps/placement_report_steps.py
+++ b/features/steps/placement_report_steps.py
@@ -13,7 +13,7 @@
 from lacewing_common.plan import Plan
 from lacewing_common.settings import Settings
 from lacewing_common.settings import WorkerSettings
-from lacewing_daemon.peers import Channels
+from lacewing_daemon.peers import PeerChannels
 from lacewing_daemon.peers import PeerNode
 from lacewing_daemon.placement import ModelDemand
 from lacewing_daemon.placement import ReportBook
@@ -39,7 +39,7 @@
         )
         self.reporter = Reporter(
             ServiceMembers(node, 's'),
-            Channels(None),
+            PeerChannels(None),
             ReportBook('s', 10.0, self._count),
             self._report,
             10.0,
--- a/features/steps/platform_fault_steps.py
+++ b/features/steps/platform_fault_steps.py
@@ -26,7 +26,7 @@
     options = ClientOptions(
         connect_timeout_s=SHORT_S,
         request_timeout_s=PATIENCE_S,
-        calls_at_once=1,
+        max_concurrent_calls=1,
     )
     bench.client = bench.runner.run(new_client(bench, options))
     bench.store = bench.client
--- a/features/steps/rolling_steps.py
+++ b/features/steps/rolling_steps.py
@@ -16,7 +16,7 @@
 from lacewing_common.bundles import BundleValidator
 from lacewing_common.document import Document
 from lacewing_common.platform_client import PlatformClient
-from lacewing_common.rolls import BundleReads
+from lacewing_common.rolls import BundleHistory
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollResult
 from lacewing_common.rolls import StoredHead
@@ -67,7 +67,7 @@
 async def _read(url: str, guard: BundleValidator) -> Document | RollError:
     client = PlatformClient(url)
     try:
-        reads = BundleReads(client, guard)
+        reads = BundleHistory(client, guard)
         stored = await reads.head()
         assert isinstance(stored, StoredHead), stored
         return await reads.document(stored)
--- a/features/steps/router_count_steps.py
+++ b/features/steps/router_count_steps.py
@@ -178,4 +178,4 @@
 
 async def _look(context: Context) -> None:
     for one in context.counts:
-        await one.look()
+        await one.refresh()
--- a/features/steps/silence_pace_steps.py
+++ b/features/steps/silence_pace_steps.py
@@ -51,14 +51,14 @@
 @then('a stream is left after a silence of {after_ms:d} ms')
 def step_after(context: Context, after_ms: int) -> None:
     """Compare the bound."""
-    mute_s = context.streams[0].mute_s(LEAST_S, context.silence_s)
+    mute_s = context.streams[0].silence_limit_s(LEAST_S, context.silence_s)
     assert abs(mute_s * 1000 - after_ms) < 1, mute_s
 
 
 @then('one that has a copy alone after {after_ms:d} ms')
 def step_copy(context: Context, after_ms: int) -> None:
     """Compare the bound."""
-    mute_s = context.streams[1].mute_s(LEAST_S, context.silence_s)
+    mute_s = context.streams[1].silence_limit_s(LEAST_S, context.silence_s)
     assert abs(mute_s * 1000 - after_ms) < 1, mute_s
 
 
--- a/features/steps/slow_answers_steps.py
+++ b/features/steps/slow_answers_steps.py
@@ -103,7 +103,7 @@
         ClientOptions(
             connect_timeout_s=0.1,
             request_timeout_s=context.begin_s,
-            calls_at_once=1,
+            max_concurrent_calls=1,
         ),
     )
 
--- a/features/steps/store_returns_own_steps.py
+++ b/features/steps/store_returns_own_steps.py
@@ -203,7 +203,7 @@
     async def play(count: Any) -> None:
         if context.clock.now_s - count._renewed_s >= RENEW_S:
             await count.renew()
-        await count.look()
+        await count.refresh()
 
     for count in context.counts:
         asyncio.run(play(count))
--- a/features/steps/weights_series_steps.py
+++ b/features/steps/weights_series_steps.py
@@ -14,7 +14,7 @@
 from lacewing_daemon.direct._loading import load_schedule
 from lacewing_daemon.direct._loading import nearly_overdue_after_s
 from lacewing_daemon.direct._loading import next_loads
-from lacewing_daemon.direct._loading import REPEAT_S
+from lacewing_daemon.direct._loading import ORDER_RETRY_S
 from lacewing_daemon.direct._policy import LoadPolicy
 from support.direct_bench import BOUNDS
 from support.direct_bench import MODEL
@@ -126,13 +126,16 @@
         last_s = float('-inf')
         for view in views:
             waits = view.version < self.engines[view.upstream_id].ordered
-            if waits and view.ordered_ago_s < REPEAT_S:
+            if waits and view.ordered_ago_s < ORDER_RETRY_S:
                 under_way += 1
             if view.upstream_id in chosen:
                 last_s = max(last_s, view.nearly_overdue_in_s)
         self.most_at_once = max(self.most_at_once, under_way)
         for view in views:
-            if view.upstream_id in chosen or view.ordered_ago_s < REPEAT_S:
+            if (
+                view.upstream_id in chosen
+                or view.ordered_ago_s < ORDER_RETRY_S
+            ):
                 continue
             if view.nearly_overdue_in_s < min(0.0, last_s):
                 self.passed_over.append((now_s, view.upstream_id))
--- a/features/support/audit_bench.py
+++ b/features/support/audit_bench.py
@@ -9,7 +9,7 @@
 from lacewing_common.audit import AUDIT
 from lacewing_common.audit import AuditBuffer
 from lacewing_common.audit import AuditLog
-from lacewing_common.audit import AuditReads
+from lacewing_common.audit import AuditReader
 from lacewing_common.audit import AuditRecord
 from lacewing_common.audit import AuditTrail
 from lacewing_common.document_objects import PARTS
@@ -52,9 +52,9 @@
         self._reported = 0
 
     @property
-    def reads(self) -> AuditReads:
+    def reads(self) -> AuditReader:
         """Return the queries."""
-        return AuditReads(self.rolls.store, _PATIENCE, Random(3))
+        return AuditReader(self.rolls.store, _PATIENCE, Random(3))
 
     def log(self, name: str, patience: RetryPolicy = _PATIENCE) -> AuditLog:
         """Return a writer of a trail."""
@@ -160,7 +160,7 @@
     """Read a trail over HTTP."""
     client = PlatformClient(platform_url)
     try:
-        trail = await AuditReads(client, _PATIENCE).trail(name, 0)
+        trail = await AuditReader(client, _PATIENCE).trail(name, 0)
     finally:
         client.close()
     assert isinstance(trail, AuditTrail), trail
--- a/features/support/peers_bench.py
+++ b/features/support/peers_bench.py
@@ -39,8 +39,8 @@
 from lacewing_common.wire_peers import Liveness
 from lacewing_common.wire_peers import MemberRecord
 from lacewing_daemon._peers_server import PeersServer
-from lacewing_daemon.peers import Channels
-from lacewing_daemon.peers import NoReply
+from lacewing_daemon.peers import PeerCallFailed
+from lacewing_daemon.peers import PeerChannels
 from lacewing_daemon.peers import PeerNode
 from lacewing_daemon.peers import PlatformReader
 
@@ -92,7 +92,7 @@
         return self._rng.random() >= self._lose_share
 
 
-class _FaultyChannels(Channels):
+class _FaultyChannels(PeerChannels):
     def __init__(self, network: Network) -> None:
         super().__init__(None)
         self._network = network
@@ -105,9 +105,9 @@
         request: object,
         reply_type: type[T],
         timeout_s: float,
-    ) -> T | NoReply:
+    ) -> T | PeerCallFailed:
         if not self._network.passes(self.address, address):
-            return NoReply('cut')
+            return PeerCallFailed('cut')
         if method == FETCH_METHOD:
             digests = getattr(request, 'digests', ())
             self._network.parts_fetched.extend(digests)
@@ -116,7 +116,7 @@
             address, method, request, reply_type, timeout_s
         )
         if not self._network.passes(address, self.address):
-            return NoReply('answer lost')
+            return PeerCallFailed('answer lost')
         return answer
 
 
--- a/features/support/rolls_bench.py
+++ b/features/support/rolls_bench.py
@@ -29,8 +29,8 @@
 from lacewing_common.document_objects import HEADS
 from lacewing_common.document_objects import PARTS
 from lacewing_common.retries import RetryPolicy
-from lacewing_common.rolls import BundleReads
-from lacewing_common.rolls import BundleWrites
+from lacewing_common.rolls import BundleHistory
+from lacewing_common.rolls import BundleRoller
 from lacewing_common.rolls import HistoryEntry
 from lacewing_common.rolls import make_rollback
 from lacewing_common.rolls import RollError
@@ -127,14 +127,14 @@
         self._nonces = 0
 
     @property
-    def reads(self) -> BundleReads:
+    def reads(self) -> BundleHistory:
         """Return the queries of an operator."""
-        return BundleReads(self.store, self.guard, _PATIENCE, Random(1))
+        return BundleHistory(self.store, self.guard, _PATIENCE, Random(1))
 
     @property
-    def writes(self) -> BundleWrites:
+    def writes(self) -> BundleRoller:
         """Return the commands of an operator."""
-        return BundleWrites(self.store, self.guard, _PATIENCE, Random(2))
+        return BundleRoller(self.store, self.guard, _PATIENCE, Random(2))
 
     def set_faults(self, **switches: object) -> None:
         """Replace the platform's fault switches."""
--- a/packages/bench/src/lacewing_bench/capacity/_gossip.py
+++ b/packages/bench/src/lacewing_bench/capacity/_gossip.py
@@ -16,8 +16,8 @@
 from lacewing_common.wire_peers import Liveness
 from lacewing_common.wire_peers import MemberRecord
 from lacewing_daemon._peers_server import PeersServer
-from lacewing_daemon.peers import Channels
-from lacewing_daemon.peers import NoReply
+from lacewing_daemon.peers import PeerCallFailed
+from lacewing_daemon.peers import PeerChannels
 from lacewing_daemon.peers import PeerNode
 from lacewing_daemon.peers._table import MemberTable
 
@@ -111,7 +111,7 @@
     )
     server = PeersServer(settings, [called.service])
     await server.start()
-    channels = Channels(None)
+    channels = PeerChannels(None)
     # The records entered above count as news, told log(n) times each; a calm
     # fleet has some 800 changes a day and nothing to tell most of the time.
     for node in (caller, called):
@@ -131,12 +131,12 @@
 
 
 async def _call(
-    channels: Channels, address: str, caller: PeerNode
+    channels: PeerChannels, address: str, caller: PeerNode
 ) -> Exchange:
     answer = await channels.call(
         address, EXCHANGE_METHOD, caller._updates.make_request(), Exchange, 5.0
     )
-    if isinstance(answer, NoReply):
+    if isinstance(answer, PeerCallFailed):
         raise RuntimeError(answer.message)
     caller._updates.apply(answer)
     return answer
--- a/packages/bench/src/lacewing_bench/experiment/_router.py
+++ b/packages/bench/src/lacewing_bench/experiment/_router.py
@@ -158,7 +158,7 @@
         """Learn that an engine loads; it is left alone for a moment."""
         sent.target.state.mark_started(sent.ticket)
         sent.target.state.close_request()
-        sent.target.state.pause(now_ms / _MS, _PAUSE_S)
+        sent.target.state.exclude_for(now_ms / _MS, _PAUSE_S)
         self._learn(sent.target, engine)
 
     def watch(
--- a/packages/bench/src/lacewing_bench/fleet/_roller.py
+++ b/packages/bench/src/lacewing_bench/fleet/_roller.py
@@ -8,7 +8,7 @@
 from lacewing_common.bundles import BundleValidator
 from lacewing_common.document import Document
 from lacewing_common.platform_client import PlatformClient
-from lacewing_common.rolls import BundleWrites
+from lacewing_common.rolls import BundleRoller
 from lacewing_common.rolls import RollError
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
@@ -54,7 +54,7 @@
         self._platform = _CountingClient(platform_url)
         self._roller = new_roller()
         guard = BundleValidator(self._roller.root_operators)
-        self._writes = BundleWrites(self._platform, guard)
+        self._writes = BundleRoller(self._platform, guard)
         self._number = 0
 
     @property
--- a/packages/bench/src/lacewing_bench/rolling.py
+++ b/packages/bench/src/lacewing_bench/rolling.py
@@ -8,7 +8,7 @@
 import msgspec
 from lacewing_common.audit import append_rolls
 from lacewing_common.audit import AuditLog
-from lacewing_common.audit import AuditReads
+from lacewing_common.audit import AuditReader
 from lacewing_common.audit import BUNDLE_TRAIL
 from lacewing_common.bundle import Bundle
 from lacewing_common.bundle import Operator
@@ -21,8 +21,8 @@
 from lacewing_common.bundles import SignOffRole
 from lacewing_common.bundles import split
 from lacewing_common.platform_client import PlatformClient
-from lacewing_common.rolls import BundleReads
-from lacewing_common.rolls import BundleWrites
+from lacewing_common.rolls import BundleHistory
+from lacewing_common.rolls import BundleRoller
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
 from lacewing_common.rolls import RollResult
@@ -48,7 +48,7 @@
     ) -> RollResult | RollError:
         """Sign a bundle, roll it upon the one in force, enter it."""
         guard = BundleValidator(self.root_operators)
-        reads = BundleReads(store, guard)
+        reads = BundleHistory(store, guard)
         base = await reads.head()
         number = 0
         if isinstance(base, StoredHead):
@@ -56,11 +56,11 @@
         elif base.fault is not RollFault.NOT_FOUND:
             return base
         order = self.order(bundle)
-        rolled = await BundleWrites(store, guard).roll(order, number, self.key)
+        rolled = await BundleRoller(store, guard).roll(order, number, self.key)
         if isinstance(rolled, RollError):
             return rolled
         log = AuditLog(store, BUNDLE_TRAIL)
-        entered = await append_rolls(log, AuditReads(store), reads)
+        entered = await append_rolls(log, AuditReader(store), reads)
         return entered if isinstance(entered, RollError) else rolled
 
     async def roll_at(
--- a/packages/common/src/lacewing_common/audit/__init__.py
+++ b/packages/common/src/lacewing_common/audit/__init__.py
@@ -7,7 +7,7 @@
 from lacewing_common.audit._log import AUDIT
 from lacewing_common.audit._log import AuditLog
 from lacewing_common.audit._log import CHUNK_ENTRIES
-from lacewing_common.audit._reads import AuditReads
+from lacewing_common.audit._reads import AuditReader
 from lacewing_common.audit._reads import AuditTrail
 from lacewing_common.audit._rolls import append_rolls
 from lacewing_common.audit._rolls import BUNDLE_TRAIL
@@ -20,7 +20,7 @@
     'AuditBuffer',
     'AuditEntry',
     'AuditLog',
-    'AuditReads',
+    'AuditReader',
     'AuditRecord',
     'BUNDLE_TRAIL',
     'CHUNK_ENTRIES',
--- a/packages/common/src/lacewing_common/audit/_buffer.py
+++ b/packages/common/src/lacewing_common/audit/_buffer.py
@@ -17,9 +17,10 @@
 class AuditBuffer:
     """Take records at once and write them later, one batch at a time.
 
-    In an outage of the platform the records wait, ``kept`` at most; then the
-    newest are dropped and counted, and an entry tells how many. Kept without
-    a bound they would take the memory of a process that serves requests.
+    In an outage of the platform the records wait, ``max_records`` at most;
+    then the newest are dropped and counted, and an entry tells how many. Kept
+    without a bound they would take the memory of a process that serves
+    requests.
     """
 
     def __init__(
@@ -27,12 +28,12 @@
         log: AuditLog,
         who: str,
         flush_s: float = _FLUSH_S,
-        kept: int = _KEPT,
+        max_records: int = _KEPT,
     ) -> None:
         self._audit = log
         self._who = who
         self._flush_s = flush_s
-        self._kept = kept
+        self._kept = max_records
         self._waiting: deque[AuditRecord] = deque()
         self._dropped = 0
         self._losses = 0
--- a/packages/common/src/lacewing_common/audit/_log.py
+++ b/packages/common/src/lacewing_common/audit/_log.py
@@ -44,12 +44,12 @@
         self,
         store: ObjectStore,
         name: str,
-        patience: RetryPolicy | None = None,
+        retry_policy: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
         self._name = name
-        self._patience = patience or RetryPolicy()
+        self._patience = retry_policy or RetryPolicy()
         self._random = random or Random()
 
     async def append(
--- a/packages/common/src/lacewing_common/audit/_reads.py
+++ b/packages/common/src/lacewing_common/audit/_reads.py
@@ -31,17 +31,17 @@
     is_complete: bool
 
 
-class AuditReads:
+class AuditReader:
     """Query the audit trails of the platform."""
 
     def __init__(
         self,
         store: ObjectStore,
-        patience: RetryPolicy | None = None,
+        retry_policy: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
-        self._patience = patience or RetryPolicy()
+        self._patience = retry_policy or RetryPolicy()
         self._random = random or Random()
 
     async def names(self) -> tuple[str, ...] | StoreError:
--- a/packages/common/src/lacewing_common/audit/_rolls.py
+++ b/packages/common/src/lacewing_common/audit/_rolls.py
@@ -10,8 +10,8 @@
 from lacewing_common.audit._entries import AuditEntry
 from lacewing_common.audit._entries import AuditRecord
 from lacewing_common.audit._log import AuditLog
-from lacewing_common.audit._reads import AuditReads
-from lacewing_common.rolls import BundleReads
+from lacewing_common.audit._reads import AuditReader
+from lacewing_common.rolls import BundleHistory
 from lacewing_common.rolls import HistoryEntry
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
@@ -37,7 +37,7 @@
 
 
 async def append_rolls(
-    log: AuditLog, trails: AuditReads, bundles: BundleReads
+    log: AuditLog, trails: AuditReader, bundles: BundleHistory
 ) -> int | RollError:
     """Enter the last rolls that are not entered; return how many.
 
@@ -58,7 +58,7 @@
     return len(missing)
 
 
-async def _known_rolls(trails: AuditReads) -> set[str] | RollError:
+async def _known_rolls(trails: AuditReader) -> set[str] | RollError:
     """Return the ids of the newest rolls entered, at least of one."""
     limit = 1
     while True:
@@ -77,7 +77,7 @@
 
 
 async def _missing(
-    bundles: BundleReads, known: set[str]
+    bundles: BundleHistory, known: set[str]
 ) -> tuple[AuditRecord, ...] | RollError:
     missing: list[AuditRecord] = []
     async for roll in bundles.rolls():
--- a/packages/common/src/lacewing_common/platform_client.py
+++ b/packages/common/src/lacewing_common/platform_client.py
@@ -44,8 +44,8 @@
     watch_wait_s: float = 25.0
     watch_backoff_base_s: float = 1.0
     watch_backoff_cap_s: float = 8.0
-    calls_at_once: int = 16
-    watches_at_once: int = 16
+    max_concurrent_calls: int = 16
+    max_concurrent_watches: int = 16
     ca_file: str | None = None
 
 
@@ -76,8 +76,12 @@
         self._options = options or ClientOptions()
         self._random = random or Random()
         base_url = platform if '://' in platform else f'http://{platform}'
-        self._calls = self._caller(base_url, self._options.calls_at_once)
-        self._watches = self._caller(base_url, self._options.watches_at_once)
+        self._calls = self._caller(
+            base_url, self._options.max_concurrent_calls
+        )
+        self._watches = self._caller(
+            base_url, self._options.max_concurrent_watches
+        )
 
     def close(self) -> None:
         """Close all connections; end or cancel calls and watches before."""
--- a/packages/common/src/lacewing_common/platform_http.py
+++ b/packages/common/src/lacewing_common/platform_http.py
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True)
 class HttpAnswer:
-    """Hold an HTTP answer; ``took_s`` is the time that its body took."""
+    """Hold an HTTP answer; its body took ``body_duration_s`` to arrive."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    took_s: float = 0.0
+    body_duration_s: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -234,7 +234,7 @@
     def __init__(
         self,
         base_url: str,
-        at_once: int,
+        max_concurrent: int,
         connect_timeout_s: float,
         silence_s: float,
         ca_file: str | None = None,
@@ -243,8 +243,10 @@
         self._connect_timeout_s = connect_timeout_s
         self._silence_s = silence_s
         self._ca_file = ca_file
-        self._slots = asyncio.Semaphore(at_once)
-        self._client = _CurlClient(force_instance=True, max_clients=at_once)
+        self._slots = asyncio.Semaphore(max_concurrent)
+        self._client = _CurlClient(
+            force_instance=True, max_clients=max_concurrent
+        )
 
     async def call(self, call: HttpCall) -> HttpAnswer | NoHttpAnswer:
         """Make one call; cancelling it leaves a write's effect unknown."""
--- a/packages/common/src/lacewing_common/rolls/_parts.py
+++ b/packages/common/src/lacewing_common/rolls/_parts.py
@@ -20,10 +20,10 @@
     """Write immutable parts by their digest."""
 
     def __init__(
-        self, store: ObjectStore, patience: RetryPolicy, random: Random
+        self, store: ObjectStore, retry_policy: RetryPolicy, random: Random
     ) -> None:
         self._store = store
-        self._patience = patience
+        self._patience = retry_policy
         self._random = random
         self._slots = asyncio.Semaphore(_CALLS_AT_ONCE)
 
--- a/packages/common/src/lacewing_common/rolls/_reads.py
+++ b/packages/common/src/lacewing_common/rolls/_reads.py
@@ -68,19 +68,19 @@
     nonce: str
 
 
-class BundleReads:
+class BundleHistory:
     """Query the bundles of the platform; check each before it is given."""
 
     def __init__(
         self,
         store: ObjectStore,
         guard: BundleValidator,
-        patience: RetryPolicy | None = None,
+        retry_policy: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
         self._guard = guard
-        self._patience = patience or RetryPolicy()
+        self._patience = retry_policy or RetryPolicy()
         self._random = random or Random()
         self._slots = asyncio.Semaphore(_READS_AT_ONCE)
 
--- a/packages/common/src/lacewing_common/rolls/_rollback.py
+++ b/packages/common/src/lacewing_common/rolls/_rollback.py
@@ -4,13 +4,13 @@
 from lacewing_common.bundles import RollOrder
 from lacewing_common.rolls._errors import RollError
 from lacewing_common.rolls._errors import RollFault
-from lacewing_common.rolls._reads import BundleReads
+from lacewing_common.rolls._reads import BundleHistory
 from lacewing_common.rolls._reads import StoredHead
 from lacewing_common.verdict import Refusal
 
 
 async def make_rollback(
-    reads: BundleReads, now: StoredHead, number: int, at: str, nonce: str
+    reads: BundleHistory, now: StoredHead, number: int, at: str, nonce: str
 ) -> RollOrder | RollError:
     """Make the order of a rollback from the roll in force to ``number``.
 
--- a/packages/common/src/lacewing_common/rolls/_writes.py
+++ b/packages/common/src/lacewing_common/rolls/_writes.py
@@ -21,7 +21,7 @@
 from lacewing_common.rolls._errors import RollError
 from lacewing_common.rolls._errors import RollFault
 from lacewing_common.rolls._parts import PartWriter
-from lacewing_common.rolls._reads import BundleReads
+from lacewing_common.rolls._reads import BundleHistory
 from lacewing_common.rolls._reads import HEAD_NAME
 from lacewing_common.rolls._reads import StoredHead
 from lacewing_common.store import MUST_NOT_EXIST
@@ -46,21 +46,21 @@
     document: Document | None = None
 
 
-class BundleWrites:
+class BundleRoller:
     """Roll bundles through conditional updates of one head object."""
 
     def __init__(
         self,
         store: ObjectStore,
         guard: BundleValidator,
-        patience: RetryPolicy | None = None,
+        retry_policy: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
         self._guard = guard
-        self._patience = patience or RetryPolicy()
+        self._patience = retry_policy or RetryPolicy()
         self._random = random or Random()
-        self._reads = BundleReads(store, guard, patience, random)
+        self._reads = BundleHistory(store, guard, retry_policy, random)
         self._parts = PartWriter(store, self._patience, self._random)
 
     async def roll(
--- a/packages/ctl/src/lacewing_ctl/_session.py
+++ b/packages/ctl/src/lacewing_ctl/_session.py
@@ -6,15 +6,15 @@
 from typing import TypeVar
 
 from lacewing_common.audit import AuditLog
-from lacewing_common.audit import AuditReads
+from lacewing_common.audit import AuditReader
 from lacewing_common.audit import BUNDLE_TRAIL
 from lacewing_common.bundles import BundleValidator
 from lacewing_common.exits import Exit
 from lacewing_common.platform_client import ClientOptions
 from lacewing_common.platform_client import PlatformClient
 from lacewing_common.retries import RetryPolicy
-from lacewing_common.rolls import BundleReads
-from lacewing_common.rolls import BundleWrites
+from lacewing_common.rolls import BundleHistory
+from lacewing_common.rolls import BundleRoller
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
 from lacewing_common.store import StoreError
@@ -35,19 +35,19 @@
         self.store = client
         patience = RetryPolicy(give_up_after_s=patience_s)
         guard = BundleValidator(profile.root_operators)
-        self.reads = BundleReads(client, guard, patience)
-        self.writes = BundleWrites(client, guard, patience)
-        self.trails = AuditReads(client, patience)
+        self.reads = BundleHistory(client, guard, patience)
+        self.writes = BundleRoller(client, guard, patience)
+        self.trails = AuditReader(client, patience)
         self.trail = AuditLog(client, BUNDLE_TRAIL, patience)
 
 
 def in_session(
     profile: Profile,
-    patience_s: float,
+    retry_limit_s: float,
     work: Callable[[Session], Awaitable[T | RollError | StoreError]],
 ) -> T:
     """Run work on the platform; end with the code of its error."""
-    result = asyncio.run(_run(profile, patience_s, work))
+    result = asyncio.run(_run(profile, retry_limit_s, work))
     if isinstance(result, RollError):
         exit_with_error(result)
     if isinstance(result, StoreError):
--- a/packages/daemon/src/lacewing_daemon/direct/_admission.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_admission.py
@@ -36,24 +36,24 @@
 
 def admit(
     request: CallerRequest,
-    directory: RoutingConfig | None,
+    routing_config: RoutingConfig | None,
     keys_confirmed: bool,
     random: Random,
 ) -> Admitted | Refusal:
     """Find the route, team and service of a request."""
-    if directory is None:
+    if routing_config is None:
         return not_run(
             Reason.NOT_READY,
             'no configuration was read yet; repeat the request',
             NOT_READY_RETRY_S,
         )
-    route = directory.route(request.host, request.path)
+    route = routing_config.route(request.host, request.path)
     if route is None:
         return not_run(
             Reason.UNKNOWN_PATH, f'no route for {request.host}{request.path}'
         )
     team: Team | None = None
-    if directory.teams is not None and not route.public:
+    if routing_config.teams is not None and not route.public:
         if not keys_confirmed:
             # The key may have been taken away without this router knowing.
             return not_run(
@@ -61,16 +61,16 @@
                 'keys could not be confirmed lately; repeat the request',
                 UNCONFIRMED_RETRY_S,
             )
-        team = directory.teams.get(request.key)
+        team = routing_config.teams.get(request.key)
         if team is None:
             return not_run(Reason.BAD_KEY, 'unknown key')
-    if len(request.body) > directory.limits.max_body_bytes:
+    if len(request.body) > routing_config.limits.max_body_bytes:
         return not_run(
             Reason.TOO_LARGE,
-            f'at most {directory.limits.max_body_bytes} bytes are taken,'
+            f'at most {routing_config.limits.max_body_bytes} bytes are taken,'
             f' got {len(request.body)}',
         )
-    service = _draw_service(route, directory, random)
+    service = _draw_service(route, routing_config, random)
     if service is None:
         return not_run(Reason.NO_WORKER, 'no service on this route', 1.0)
     return Admitted(route, service, team)
--- a/packages/daemon/src/lacewing_daemon/direct/_attempt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_attempt.py
@@ -88,7 +88,7 @@
         may_repeat: bool,
         first_wait_s: float,
         gap_wait_s: float,
-        most_idle: int,
+        max_idle: int,
         gives_up: Callable[[float], bool] = _at_once,
     ) -> AttemptEnd:
         """Send the request; cancelled, its connection is closed.
@@ -98,7 +98,7 @@
         and again every little while, whether to wait no longer.
         """
         try:
-            connection = await pool.take(upstream, not may_repeat)
+            connection = await pool.acquire(upstream, not may_repeat)
         except ConnectionRefusedError:
             return _unreachable(Contact.REFUSED)
         except OSError:
@@ -108,9 +108,13 @@
             self._send(connection, dispatch)
             complete = await self._wait(first_wait_s, gap_wait_s, gives_up)
             end = self._judge(complete)
-            if end.complete and end.head is not None and not end.head.closing:
-                pool.give_back(
-                    upstream, connection, end.head.keep_alive_s, most_idle
+            if (
+                end.complete
+                and end.head is not None
+                and not end.head.will_close
+            ):
+                pool.release(
+                    upstream, connection, end.head.keep_alive_s, max_idle
                 )
                 kept = True
             return end
--- a/packages/daemon/src/lacewing_daemon/direct/_cached_parts.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cached_parts.py
@@ -15,8 +15,8 @@
 class CachedParts:
     """Judge by what this router has sent; nothing is asked."""
 
-    def __init__(self, knowledge: ClusterState) -> None:
-        self._knowledge = knowledge
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self._knowledge = cluster_state
 
     def record_sent(
         self, target: Target, prompt: Prompt, engine: Engine, now_s: float
@@ -60,7 +60,7 @@
     def prefill_ms(
         self,
         state: UpstreamState,
-        wall: str,
+        cache_salt: str,
         prompt: Prompt,
         engine: Engine,
         kv_store: KvStore | None,
@@ -68,20 +68,20 @@
         speed: float,
     ) -> float:
         """Return how long an engine reads a prompt, fetching included."""
-        missing = state.missing_tokens(wall, prompt, now_s)
+        missing = state.missing_tokens(cache_salt, prompt, now_s)
         fetched = 0
         if kv_store is not None:
-            fetched = self._fetchable(wall, prompt, missing, now_s)
+            fetched = self._fetchable(cache_salt, prompt, missing, now_s)
         read_ms = (missing - fetched) / speed
         if fetched and kv_store is not None:
             link = min(engine.link_bytes_per_s, kv_store.link_bytes_per_s)
             read_ms += fetched * engine.kv_token_bytes / link * _MS
         return read_ms
 
-    def save_to(
+    def save_address(
         self,
         kv_store: KvStore | None,
-        wall: str,
+        cache_salt: str,
         prompt: Prompt,
         now_s: float,
     ) -> str | None:
@@ -89,7 +89,7 @@
         if kv_store is None:
             return None
         for part in prompt.shared:
-            if not self._knowledge.is_saved(wall, part.part_id, now_s):
+            if not self._knowledge.is_saved(cache_salt, part.part_id, now_s):
                 return kv_store.address
         return None
 
--- a/packages/daemon/src/lacewing_daemon/direct/_caller_reply.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_reply.py
@@ -38,7 +38,7 @@
         """Tell whether the end of this process ended the connection."""
         return self._stopped
 
-    def note_stop(self) -> None:
+    def mark_stopped(self) -> None:
         """Note that this process ends before the answer does."""
         self._stopped = True
 
@@ -46,7 +46,7 @@
         """Tell the caller, if still possible, not to use its connection."""
         self._closing = True
 
-    def begin(self, status: int, headers: HTTPHeaders) -> None:
+    def send_head(self, status: int, headers: HTTPHeaders) -> None:
         """Send the head of an answer that is streamed."""
         self._begun = True
         self._announce(headers)
@@ -64,7 +64,9 @@
         self._ended = True
         self._connection.finish()
 
-    def whole(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
+    def send_complete(
+        self, status: int, headers: HTTPHeaders, body: bytes
+    ) -> None:
         """Send a whole answer."""
         self._begun = True
         self._ended = True
--- a/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
@@ -107,7 +107,7 @@
     async def close(self) -> None:
         """Close all connections."""
         for reply in self._open.values():
-            reply.note_stop()
+            reply.mark_stopped()
         await self._server.close_all_connections()
 
     def start_request(
--- a/packages/daemon/src/lacewing_daemon/direct/_choice.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_choice.py
@@ -51,7 +51,7 @@
     retry_after_ms: float
 
 
-def place(
+def place_prompt(
     engines: Sequence[EngineView],
     left_ms: float,
     policy: LoadPolicy,
--- a/packages/daemon/src/lacewing_daemon/direct/_cluster_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cluster_state.py
@@ -13,8 +13,8 @@
 from lacewing_daemon.direct._budget import RetryBudget
 from lacewing_daemon.direct._clock import boot_s
 from lacewing_daemon.direct._estimates import apply_estimates
+from lacewing_daemon.direct._estimates import ESTIMATE_INTERVAL_S
 from lacewing_daemon.direct._estimates import Estimates
-from lacewing_daemon.direct._estimates import RENEW_S
 from lacewing_daemon.direct._line_budget import LineBudget
 from lacewing_daemon.direct._loading import load_schedule
 from lacewing_daemon.direct._loading import nearly_overdue_after_s
@@ -146,7 +146,7 @@
         """
         now_s = self._clock()
         known = self._policies.get(service)
-        if known is not None and now_s - known.at_s < RENEW_S:
+        if known is not None and now_s - known.at_s < ESTIMATE_INTERVAL_S:
             return known.policy
         policy = apply_estimates(self._policy, self.estimates(service), now_s)
         self._policies[service] = _PolicySeen(policy, now_s)
@@ -261,14 +261,14 @@
             self._budgets[service.name] = budget
         return budget
 
-    def is_saved(self, wall: str, part_id: str, now_s: float) -> bool:
+    def is_saved(self, cache_salt: str, part_id: str, now_s: float) -> bool:
         """Tell whether the store of KV cache was sent a part lately."""
-        saved_s = self._saved.get((wall, part_id))
+        saved_s = self._saved.get((cache_salt, part_id))
         return saved_s is not None and now_s - saved_s < SAVED_S
 
-    def mark_saved(self, wall: str, part_id: str, now_s: float) -> None:
+    def mark_saved(self, cache_salt: str, part_id: str, now_s: float) -> None:
         """Note that a part was sent to the store of KV cache."""
-        key = (wall, part_id)
+        key = (cache_salt, part_id)
         self._saved[key] = now_s
         self._saved.move_to_end(key)
         if len(self._saved) > SAVED_PARTS:
@@ -360,7 +360,7 @@
         state: UpstreamState,
         model: str,
         version: int,
-        unsure_s: float = 0.0,
+        max_age_s: float = 0.0,
     ) -> None:
         """Take the version of weights that an upstream told.
 
@@ -370,7 +370,7 @@
         self._learn_load(state, model, version)
         state.learn_weights(model, version)
         named = ReleasedWeights(model, version)
-        self.record_release(named, unsure_s, ReleaseSource.UPSTREAM)
+        self.record_release(named, max_age_s, ReleaseSource.UPSTREAM)
 
     def _learn_load(
         self, state: UpstreamState, model: str, version: int
@@ -393,10 +393,10 @@
     def record_release(
         self,
         value: ReleasedWeights,
-        unsure_s: float = 0.0,
-        learnt: ReleaseSource = ReleaseSource.STORE,
+        max_age_s: float = 0.0,
+        source: ReleaseSource = ReleaseSource.STORE,
     ) -> None:
-        """Take a version that was named at some time since ``unsure_s`` ago.
+        """Take a version that was named at some time since ``max_age_s`` ago.
 
         Infinite for one that was there when this process started.
         """
@@ -408,10 +408,10 @@
         # Counted from now, versions of which this router did not hear at
         # once would get more time than they have. Other routers may have
         # refused older weights for long; this one joins them soon.
-        first = unsure_s == float('inf')
+        first = max_age_s == float('inf')
         grace_s = self._start_grace_s(now_s) if first else GAP_GRACE_S
         most_s = max(0.0, self.old_weights_limit_s - grace_s)
-        since_s = now_s - min(unsure_s, most_s)
+        since_s = now_s - min(max_age_s, most_s)
         if namings:
             since_s = max(since_s, namings[-1].released_s)
         self._namings[value.model] = add_release(
@@ -430,7 +430,7 @@
                 version=value.version,
                 before=known,
                 before_start=first,
-                learnt=learnt.value,
+                learnt=source.value,
                 age_ms=int((now_s - since_s) * _MS),
             )
 
--- a/packages/daemon/src/lacewing_daemon/direct/_collection_watcher.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_collection_watcher.py
@@ -268,10 +268,10 @@
             return
         await guide.wait_reconnected(GUIDED_S + pause_s)
 
-    async def wait_reconnected(self, most_s: float) -> None:
+    async def wait_reconnected(self, timeout_s: float) -> None:
         """Wait until a call succeeds after one that failed."""
         try:
-            async with asyncio.timeout(most_s):
+            async with asyncio.timeout(timeout_s):
                 await self._found.wait()
         except TimeoutError:
             return
@@ -334,7 +334,7 @@
             return CallReason.FAILURE
         if self._last_changed:
             return CallReason.CHANGE
-        return CallReason.QUIET
+        return CallReason.NO_CHANGE
 
     async def _watched(
         self, wait_s: float
--- a/packages/daemon/src/lacewing_daemon/direct/_copies.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_copies.py
@@ -22,28 +22,28 @@
 
 def choose_copy_upstream(
     target: Target,
-    others: Sequence[Target],
+    candidates: Sequence[Target],
     views: Sequence[EngineView],
     ends_ms: float,
-    most_tokens: float,
+    max_copy_tokens: float,
 ) -> UpstreamState | None:
     """Choose the engine that keeps a copy of a run.
 
-    Load pattern: engines crash with runs that must not begin again. The
-    copy must outlast the run, which is expected to end in ``ends_ms``, so
-    an engine that loads before is no choice, nor one where this router has
-    copies of over ``most_tokens``; of the others the nearest, then the least
-    busy one.
+    Load pattern: engines crash with runs that must not begin again. The copy
+    must outlast the run, which is expected to end in ``ends_ms``, so an engine
+    that loads before is no choice, nor one where this router has copies of
+    over ``max_copy_tokens``; of the others the nearest, then the least busy
+    one.
     """
     best: UpstreamState | None = None
     best_rank = (0, 0)
     zone = target.state.upstream.availability_zone
-    for other, view in zip(others, views, strict=True):
+    for other, view in zip(candidates, views, strict=True):
         if other.state is target.state or other.weights != target.weights:
             continue
         if view.load_in_ms < ends_ms:
             continue
-        if other.state.copy_tokens > most_tokens:
+        if other.state.copy_tokens > max_copy_tokens:
             continue
         upstream = other.state.upstream
         rank = (int(upstream.availability_zone != zone), view.in_flight)
--- a/packages/daemon/src/lacewing_daemon/direct/_entry_cache.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_entry_cache.py
@@ -10,7 +10,7 @@
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
 
-from lacewing_daemon.direct._metrics import ENTRIES_LEFT_OUT
+from lacewing_daemon.direct._metrics import ENTRIES_SKIPPED
 from lacewing_daemon.direct._restored_entries import RestoredEntries
 
 T = TypeVar('T')
@@ -123,7 +123,7 @@
         for name in unreadable:
             # One entry that somebody wrote wrongly must not stop what
             # depends on the others.
-            ENTRIES_LEFT_OUT.labels(self._collection).inc()
+            ENTRIES_SKIPPED.labels(self._collection).inc()
             _log.error(
                 'Left an entry out.', collection=self._collection, entry=name
             )
--- a/packages/daemon/src/lacewing_daemon/direct/_estimates.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_estimates.py
@@ -16,7 +16,7 @@
 SEEN_S = 60.0
 MOST_KEPT = 48
 # Estimates are worked out anew this often, as pairs cost processor time.
-RENEW_S = 3.0
+ESTIMATE_INTERVAL_S = 3.0
 # Prompts whose lengths differ by less say nothing of the time a token takes.
 LEAST_DIFFERENCE_TOKENS = 400
 # Of the difference of their own parts, that of their shared ones at the most.
--- a/packages/daemon/src/lacewing_daemon/direct/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_exchange.py
@@ -81,7 +81,7 @@
     log: RequestLog
 
 
-class Exchange:
+class RequestExchange:
     """Serve one request to its end."""
 
     def __init__(
@@ -363,7 +363,7 @@
             await relay.end(end.head)
         else:
             headers = HTTPHeaders(end.head.headers)
-            self._reply.whole(end.head.status, headers, end.body)
+            self._reply.send_complete(end.head.status, headers, end.body)
         self._tell(end.head.status, None)
 
     def _late(self) -> Refusal:
@@ -396,7 +396,7 @@
         headers = self._serving.wire.refusal(
             self._request.request_id, retry_after_s
         )
-        self._reply.whole(status, headers, b'')
+        self._reply.send_complete(status, headers, b'')
         self._tell(status, refusal)
 
     def _tell(self, status: int, refusal: Refusal | None) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/_fleet.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_fleet.py
@@ -329,7 +329,7 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             states = self._knowledge.upstreams.values()
-            self._pool.sweep(state.upstream for state in states)
+            self._pool.close_expired(state.upstream for state in states)
 
 
 def _report_fault(task: asyncio.Task[None]) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/_loading.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_loading.py
@@ -13,7 +13,7 @@
 from lacewing_daemon.rendezvous import rank_workers
 
 # An order without effect is repeated after this time; a load takes 0.4 s.
-REPEAT_S = 1.2
+ORDER_RETRY_S = 1.2
 # Orders that an engine gets at least, if they have no effect, between when
 # its weights are nearly overdue and when nothing may begin there.
 LAST_ORDERS = 2
@@ -60,7 +60,7 @@
 
 def nearly_overdue_after_s(old_limit_s: float) -> float:
     """Return after which part of their time weights are nearly overdue."""
-    return max(0.0, old_limit_s - LAST_ORDERS * REPEAT_S)
+    return max(0.0, old_limit_s - LAST_ORDERS * ORDER_RETRY_S)
 
 
 @dataclass(frozen=True)
@@ -83,7 +83,7 @@
 
 
 def next_loads(
-    engines: Sequence[EngineWeights], named: int, policy: LoadPolicy
+    engines: Sequence[EngineWeights], released_version: int, policy: LoadPolicy
 ) -> tuple[str, ...]:
     """Return the engines to order now to load the version named.
 
@@ -99,9 +99,9 @@
     loading = 0
     behind = []
     for engine in engines:
-        if engine.version >= named:
+        if engine.version >= released_version:
             continue
-        if engine.ordered_ago_s < REPEAT_S:
+        if engine.ordered_ago_s < ORDER_RETRY_S:
             loading += 1
             continue
         if engine.due_in_s > 0 and engine.nearly_overdue_in_s > 0:
--- a/packages/daemon/src/lacewing_daemon/direct/_metrics.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_metrics.py
@@ -24,7 +24,7 @@
     'Repeated sends that the retry budget did not allow, by service',
     ['service'],
 )
-RUNS_GONE_ON = Counter(
+RUNS_CONTINUED = Counter(
     'lacewing_direct_runs_gone_on',
     'Runs continued from copies of their memory, by service and verdict',
     ['service', 'verdict'],
@@ -38,19 +38,19 @@
     'lacewing_direct_blocked_requests',
     'Requests blocked, as upstreams crashed under them',
 )
-CRASH_NEWS = Counter(
+CRASH_MESSAGES = Counter(
     'lacewing_direct_crash_news',
     'Calls to other routers about crashes, by result',
     ['result'],
 )
-UPSTREAMS_SILENT = Counter(
+SILENT_UPSTREAMS = Counter(
     'lacewing_direct_upstreams_silent',
     'Times that all streams of an upstream fell silent at once',
 )
-ROUTERS_LIVE = Gauge(
+LIVE_ROUTERS = Gauge(
     'lacewing_direct_routers', 'Routers that live, as this one counts them'
 )
-ENTRIES_LEFT_OUT = Counter(
+ENTRIES_SKIPPED = Counter(
     'lacewing_direct_entries_left_out',
     'Entries of the store that could not be read, by collection',
     ['collection'],
@@ -88,6 +88,6 @@
 LEASE_HELD = Gauge(
     'lacewing_direct_lease_held', 'Whether this router orders weights (0, 1)'
 )
-LINES_LEFT_OUT = Counter(
+LOG_LINES_DROPPED = Counter(
     'lacewing_direct_lines_left_out', 'Log lines of requests not written'
 )
--- a/packages/daemon/src/lacewing_daemon/direct/_pages.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_pages.py
@@ -64,7 +64,9 @@
         """Send the page."""
         page = self._page()
         headers = HTTPHeaders({'Content-Type': page.content_type})
-        CallerReply(self._connection).whole(page.status, headers, page.body)
+        CallerReply(self._connection).send_complete(
+            page.status, headers, page.body
+        )
 
 
 def ready_page(ready: bool) -> Page:
--- a/packages/daemon/src/lacewing_daemon/direct/_placing.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_placing.py
@@ -12,8 +12,8 @@
 from lacewing_daemon.direct._candidates import responsive_upstreams
 from lacewing_daemon.direct._choice import EngineView
 from lacewing_daemon.direct._choice import NoCapacity
-from lacewing_daemon.direct._choice import place
 from lacewing_daemon.direct._choice import place_plain
+from lacewing_daemon.direct._choice import place_prompt
 from lacewing_daemon.direct._choice import Placement
 from lacewing_daemon.direct._choice import PlainView
 from lacewing_daemon.direct._cluster_state import ClusterState
@@ -58,11 +58,11 @@
     """Place requests on the upstreams of a fleet."""
 
     def __init__(
-        self, knowledge: ClusterState, availability_zone: str
+        self, cluster_state: ClusterState, availability_zone: str
     ) -> None:
-        self._knowledge = knowledge
+        self._knowledge = cluster_state
         self._zone = availability_zone
-        self._kept = CachedParts(knowledge)
+        self._kept = CachedParts(cluster_state)
 
     @property
     def cached_parts(self) -> CachedParts:
@@ -166,7 +166,7 @@
             view = self._view(asked, target, 0.0 if is_first else away_ms)
             views.append(view)
         tokens = asked.prompt.expected_tokens
-        placed = place(views, left_ms, asked.policy, tokens)
+        placed = place_prompt(views, left_ms, asked.policy, tokens)
         if isinstance(placed, NoCapacity):
             return placed
         target = targets[placed.upstream_id]
@@ -204,7 +204,7 @@
             wall,
             weights or None,
             None if kv_store is None else kv_store.address,
-            self._kept.save_to(kv_store, wall, prompt, now_s),
+            self._kept.save_address(kv_store, wall, prompt, now_s),
             asked.urgency,
             wait_ms=waits_ms,
             lateness_ms=excess_ms,
--- a/packages/daemon/src/lacewing_daemon/direct/_planner.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_planner.py
@@ -52,13 +52,13 @@
 
     def __init__(
         self,
-        knowledge: ClusterState,
+        cluster_state: ClusterState,
         control: UpstreamControl,
         lease: Lease,
         holder: str,
     ) -> None:
-        self._policy = knowledge.policy
-        self._knowledge = knowledge
+        self._policy = cluster_state.policy
+        self._knowledge = cluster_state
         self._control = control
         self._lease = lease
         self._holder = holder
@@ -245,7 +245,7 @@
                 version,
                 self._holder,
                 self._lease.fence,
-                report.orders_taken,
+                report.accepted_orders,
                 self._policy.switch_mode,
             ),
         )
--- a/packages/daemon/src/lacewing_daemon/direct/_pool.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_pool.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._idle: dict[_Endpoint, list[UpstreamConnection]] = {}
 
-    async def take(
+    async def acquire(
         self, upstream: Upstream, only_fresh: bool
     ) -> UpstreamConnection:
         """Return an idle connection or a new one; raises OSError."""
@@ -44,29 +44,29 @@
             connection.close()
         return await connect(upstream.address, CONNECT_TIMEOUT_S)
 
-    def give_back(
+    def release(
         self,
         upstream: Upstream,
         connection: UpstreamConnection,
         keep_s: float | None,
-        most_idle: int,
+        max_idle: int,
     ) -> None:
         """Keep a connection whose answer is complete.
 
-        ``most_idle`` bounds those kept for an upstream. It accepts a limited
+        ``max_idle`` bounds those kept for an upstream. It accepts a limited
         number from all routers together and resets any beyond; idle ones
         count, and after a burst each router holds as many as it had open.
         """
         if keep_s is not None:
             keep_s = max(0.0, keep_s - KEEP_MARGIN_S)
         idle = self._idle.setdefault(upstream.endpoint, [])
-        if len(idle) >= most_idle:
+        if len(idle) >= max_idle:
             connection.close()
             return
         if connection.release(keep_s):
             idle.append(connection)
 
-    def sweep(self, known: Iterable[Upstream]) -> None:
+    def close_expired(self, known: Iterable[Upstream]) -> None:
         """Close connections that are idle for long or to unknown peers."""
         kept = frozenset(upstream.endpoint for upstream in known)
         for endpoint in list(self._idle):
@@ -84,4 +84,4 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        self.sweep(())
+        self.close_expired(())
--- a/packages/daemon/src/lacewing_daemon/direct/_request_log.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_request_log.py
@@ -9,7 +9,7 @@
 from lacewing_common.log_lines import Try
 
 from lacewing_daemon.direct._line_budget import LineBudget
-from lacewing_daemon.direct._metrics import LINES_LEFT_OUT
+from lacewing_daemon.direct._metrics import LOG_LINES_DROPPED
 
 # How often the lines that were left out are told.
 TELL_S = 5.0
@@ -65,7 +65,7 @@
         self._told_s = now_s
         left_out = self._budget.pop_dropped_count()
         if left_out:
-            LINES_LEFT_OUT.inc(left_out)
+            LOG_LINES_DROPPED.inc(left_out)
             _log.info('Left out lines of requests.', count=left_out)
 
 
--- a/packages/daemon/src/lacewing_daemon/direct/_router.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router.py
@@ -18,7 +18,7 @@
 from lacewing_daemon.direct._caller_reply import CallerReply
 from lacewing_daemon.direct._caller_server import CallerServer
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._exchange import Exchange
+from lacewing_daemon.direct._exchange import RequestExchange
 from lacewing_daemon.direct._exchange import ServingContext
 from lacewing_daemon.direct._fleet import Fleet
 from lacewing_daemon.direct._pages import metrics_page
@@ -58,11 +58,11 @@
         settings: DirectSettings,
         site: Site,
         wire: Wire,
-        read_again: Callable[[], DirectSettings],
+        reload_settings: Callable[[], DirectSettings],
         started_s: float | None = None,
     ) -> None:
         self._settings = settings
-        self._read_again = read_again
+        self._read_again = reload_settings
         self._signals = StopSignals(patient=True)
         self._stopping = False
         self._fleet = Fleet(settings, site)
@@ -206,4 +206,4 @@
         )
 
     async def _serve(self, request: CallerRequest, reply: CallerReply) -> None:
-        await Exchange(self._serving, request, reply).run()
+        await RequestExchange(self._serving, request, reply).run()
--- a/packages/daemon/src/lacewing_daemon/direct/_router_count.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router_count.py
@@ -17,7 +17,7 @@
 from lacewing_common.store import StoreFault
 
 from lacewing_daemon.direct._clock import boot_s
-from lacewing_daemon.direct._metrics import ROUTERS_LIVE
+from lacewing_daemon.direct._metrics import LIVE_ROUTERS
 from lacewing_daemon.direct._site import SystemObjects
 from lacewing_daemon.direct._store_eras import StoreEras
 
@@ -117,7 +117,7 @@
         while True:
             if self._clock() - self._renewed_s >= RENEW_S:
                 await self.renew()
-            await self.look()
+            await self.refresh()
             spread = 0.75 + self._random.random() / 2
             await asyncio.sleep(count_interval_s(self._count) * spread)
 
@@ -140,23 +140,23 @@
         if answer.fault is StoreFault.NOT_FOUND:
             self._version = MUST_NOT_EXIST
 
-    async def look(self) -> None:
+    async def refresh(self) -> None:
         """Count the entries that were renewed lately."""
         listed = await self._store.peek_all(ROUTERS)
         if isinstance(listed, StoreError):
             return
-        count = self.take(listed)
+        count = self.count_live(listed)
         if count != self._count:
             _log.info('Counts other routers.', routers=count)
             self._on_count(count)
-        ROUTERS_LIVE.set(count)
+        LIVE_ROUTERS.set(count)
         self._count = count
         for entry in listed:
             seen = self._seen[entry.name]
             if self._clock() - seen.since_s > REMOVE_S:
                 await self._store.delete(ROUTERS, entry.name, entry.version)
 
-    def take(self, listed: Sequence[StoredObject]) -> int:
+    def count_live(self, listed: Sequence[StoredObject]) -> int:
         """Note the versions of all entries; return how many live.
 
         Whether one is renewed is judged by the own clock, from when each
--- a/packages/daemon/src/lacewing_daemon/direct/_send.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_send.py
@@ -20,7 +20,7 @@
 from lacewing_daemon.direct._learning import learn_first_event
 from lacewing_daemon.direct._metrics import ATTEMPTS
 from lacewing_daemon.direct._metrics import FIRST_SECONDS
-from lacewing_daemon.direct._metrics import RUNS_GONE_ON
+from lacewing_daemon.direct._metrics import RUNS_CONTINUED
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._site import Dispatch
 from lacewing_daemon.direct._site import ReplyHead
@@ -275,7 +275,7 @@
             self._begin()
         if self._answered_by_another(head):
             # What it tells is true of itself alone.
-            self._state.pause(time.monotonic(), MOVED_PAUSE_S)
+            self._state.exclude_for(time.monotonic(), MOVED_PAUSE_S)
             return
         if self._state.replaced:
             return
@@ -287,14 +287,14 @@
 
     def _answered_by_another(self, head: ReplyHead) -> bool:
         upstream_id = self._state.upstream.upstream_id
-        return head.answered_by not in ('', upstream_id)
+        return head.responder_id not in ('', upstream_id)
 
     def _judge(self, end: AttemptEnd) -> None:
         """Learn from the end how far the upstream is to be used."""
         service = self._admitted.service.name
         ATTEMPTS.labels(service, end.verdict.value).inc()
         if self._target.is_continuation:
-            RUNS_GONE_ON.labels(service, end.verdict.value).inc()
+            RUNS_CONTINUED.labels(service, end.verdict.value).inc()
         now_s = time.monotonic()
         if end.verdict is Verdict.RAN:
             self._state.record_success()
@@ -316,7 +316,7 @@
         if end.contact is Contact.NONE:
             self._state.record_failure(now_s)
             return
-        self._state.pause(now_s, REFUSED_PAUSE_S)
+        self._state.exclude_for(now_s, REFUSED_PAUSE_S)
 
     def _report_broken(self, end: AttemptEnd) -> None:
         run = BrokenRun(
--- a/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
@@ -9,7 +9,7 @@
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
 
-from lacewing_daemon.direct._metrics import UPSTREAMS_SILENT
+from lacewing_daemon.direct._metrics import SILENT_UPSTREAMS
 from lacewing_daemon.direct._silence_history import SILENCE_MARGIN
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
@@ -51,7 +51,7 @@
     abandon_after_s: float
     can_move: Callable[[int], bool]
 
-    def mute_s(self, least_s: float, silence_s: float) -> float:
+    def silence_limit_s(self, least_s: float, silence_s: float) -> float:
         """Return the silence of its upstream after which it is left.
 
         ``silence_s``: how long upstreams that live are silent.
@@ -83,8 +83,8 @@
     wrong shows by the upstream's next event, and the next one waits longer.
     """
 
-    def __init__(self, mute_s: float) -> None:
-        self._mute_s = mute_s
+    def __init__(self, min_silence_s: float) -> None:
+        self._mute_s = min_silence_s
         self._open: dict[UpstreamState, dict[Cut, WatchedStream]] = {}
         self._kept_until_s: dict[Cut, float] = {}
         self._left: WeakSet[UpstreamState] = WeakSet()
@@ -152,7 +152,7 @@
             silence_s = state.silence_history.usual_silence_s(now_s)
             due: list[Cut] = []
             for stream in list(streams.values()):
-                if silent_s < stream.mute_s(self._mute_s, silence_s):
+                if silent_s < stream.silence_limit_s(self._mute_s, silence_s):
                     continue
                 if self._may_leave(stream, len(due) + left, now_s):
                     due.append(stream.cut)
@@ -182,7 +182,7 @@
         self, state: UpstreamState, cuts: list[Cut], silent_s: float
     ) -> None:
         self._left.add(state)
-        UPSTREAMS_SILENT.inc()
+        SILENT_UPSTREAMS.inc()
         _log.warning(
             'An upstream fell silent.',
             upstream=state.upstream.upstream_id,
--- a/packages/daemon/src/lacewing_daemon/direct/_site.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_site.py
@@ -97,12 +97,12 @@
 class UpstreamReport:
     """Hold what an upstream says of itself.
 
-    ``orders_taken`` counts the orders it accepted since its start;
+    ``accepted_orders`` counts the orders it accepted since its start;
     ``busy`` is true while it carries one out. ``started_ms`` is the Unix
     millisecond of its start, 0 where that is not told.
     """
 
-    orders_taken: int
+    accepted_orders: int
     busy: bool
     weights: Mapping[str, int]
     started_ms: int = 0
@@ -124,7 +124,7 @@
 class LoadOrder:
     """Order an upstream to load a version of a model's weights.
 
-    ``orders_taken`` must be the upstream's count when the order is carried
+    ``accepted_orders`` must be the upstream's count when the order is carried
     out: one that arrives late, after newer ones, is then refused.
     """
 
@@ -132,7 +132,7 @@
     version: int
     holder: str
     fence: int
-    orders_taken: int
+    accepted_orders: int
     mode: SwitchMode
 
 
@@ -232,7 +232,7 @@
     ``not_run``: the upstream says that it did not run the request.
     ``other_upstream``: another incarnation answered, and ran nothing.
     ``is_signed``: the answer carries the upstream's signature.
-    ``answered_by`` is the id of the upstream that answered, '' if not told.
+    ``responder_id`` is the id of the upstream that answered, '' if not told.
     """
 
     status: int
@@ -240,13 +240,13 @@
     not_run: bool
     misdirected: bool
     is_signed: bool
-    closing: bool
+    will_close: bool
     keep_alive_s: float | None
     load: UpstreamLoad | None
     weights: int | None
     retry_after_s: float | None
     headers: HTTPHeaders
-    answered_by: str = ''
+    responder_id: str = ''
 
 
 class Wire(Protocol):
--- a/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
@@ -30,7 +30,7 @@
     """
 
     READ = 'read'
-    QUIET = 'quiet'
+    NO_CHANGE = 'quiet'
     CHANGE = 'change'
     FAILURE = 'failure'
     PEEK = 'peek'
--- a/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
@@ -31,7 +31,7 @@
     async def take(self, head: ReplyHead, piece: bytes) -> None:
         """Pass on the events that are whole; the first begins the answer."""
         if not self._reply.begun:
-            self._reply.begin(head.status, head.headers)
+            self._reply.send_head(head.status, head.headers)
         fresh = []
         for event in self._splitter.push(piece):
             number = event_id(event)
@@ -47,7 +47,7 @@
     async def end(self, head: ReplyHead) -> None:
         """Complete the answer with what follows the last event."""
         if not self._reply.begun:
-            self._reply.begin(head.status, head.headers)
+            self._reply.send_head(head.status, head.headers)
         if self._splitter.rest:
             await self._reply.write(self._splitter.rest)
         self._reply.end()
--- a/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
@@ -270,7 +270,7 @@
         excess = self._failures - FAILURES_TO_SHUN
         if excess >= 0:
             pause_s = min(SHUN_CAP_S, SHUN_BASE_S * 2**excess)
-            self.pause(now_s, pause_s)
+            self.exclude_for(now_s, pause_s)
 
     def record_refused_connection(self, now_s: float) -> None:
         """Count a failure and leave the upstream alone: it has ended.
@@ -280,37 +280,39 @@
         requests to each crashed engine.
         """
         self.record_failure(now_s)
-        self.pause(now_s, SHUN_BASE_S)
+        self.exclude_for(now_s, SHUN_BASE_S)
 
-    def pause(self, now_s: float, pause_s: float) -> None:
+    def exclude_for(self, now_s: float, pause_s: float) -> None:
         """Send nothing there for a while."""
         until_s = now_s + pause_s
         self._shunned_until_s = max(self._shunned_until_s, until_s)
 
     def record_parts(
-        self, wall: str, prompt: Prompt, engine: Engine, now_s: float
+        self, cache_salt: str, prompt: Prompt, engine: Engine, now_s: float
     ) -> None:
         """Note the parts of a prompt as held there."""
         for part in prompt.parts:
-            key = (wall, part.part_id)
+            key = (cache_salt, part.part_id)
             self._held[key] = now_s
             self._held.move_to_end(key)
         most = max(1, engine.kv_tokens // _TOKENS_A_PART)
         while len(self._held) > most:
             self._held.popitem(last=False)
 
-    def missing_tokens(self, wall: str, prompt: Prompt, now_s: float) -> int:
+    def missing_tokens(
+        self, cache_salt: str, prompt: Prompt, now_s: float
+    ) -> int:
         """Return the tokens of a prompt from its first part not held on."""
         missing = prompt.tokens
         for part in prompt.parts:
-            if not self.has_part(wall, part.part_id, now_s):
+            if not self.has_part(cache_salt, part.part_id, now_s):
                 break
             missing -= part.tokens
         return max(0, missing)
 
-    def has_part(self, wall: str, part_id: str, now_s: float) -> bool:
+    def has_part(self, cache_salt: str, part_id: str, now_s: float) -> bool:
         """Tell whether a part was sent there lately."""
-        seen_s = self._held.get((wall, part_id))
+        seen_s = self._held.get((cache_salt, part_id))
         return seen_s is not None and now_s - seen_s <= HELD_S
 
 
--- a/packages/daemon/src/lacewing_daemon/direct/_weights_releases.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_weights_releases.py
@@ -29,7 +29,7 @@
 
 
 def add_release(
-    known: Sequence[WeightsRelease], taken: WeightsRelease, limit_s: float
+    releases: Sequence[WeightsRelease], release: WeightsRelease, limit_s: float
 ) -> tuple[WeightsRelease, ...]:
     """Return the namings that matter once a newer one is taken.
 
@@ -39,8 +39,8 @@
     time is used up the newest one matters.
     """
     kept: list[WeightsRelease] = []
-    for naming in known:
-        if taken.released_s - naming.released_s > limit_s:
+    for naming in releases:
+        if release.released_s - naming.released_s > limit_s:
             kept.clear()
         if (
             kept
@@ -49,22 +49,22 @@
         ):
             naming = WeightsRelease(naming.version, kept.pop().released_s)
         kept.append(naming)
-    return (*kept, taken)
+    return (*kept, release)
 
 
-def min_allowed_version(namings: Sequence[ReleaseAge], limit_s: float) -> int:
+def min_allowed_version(releases: Sequence[ReleaseAge], limit_s: float) -> int:
     """Return the newest version whose time is used up, 0 for none.
 
     Nothing may begin on older weights than these.
     """
     floor = 0
-    for naming in namings:
+    for naming in releases:
         if naming.age_s > limit_s:
             floor = max(floor, naming.version)
     return floor
 
 
-def superseded_for_s(namings: Sequence[ReleaseAge], version: int) -> float:
+def superseded_for_s(releases: Sequence[ReleaseAge], version: int) -> float:
     """Return for how long a newer version is named, 0 if none is."""
-    ages = [one.age_s for one in namings if one.version > version]
+    ages = [one.age_s for one in releases if one.version > version]
     return max(ages, default=0.0)
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_crash_store.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_crash_store.py
@@ -64,14 +64,14 @@
     def __init__(
         self,
         store: SystemObjects,
-        followed: CollectionWatcher[str],
+        watcher: CollectionWatcher[str],
         process_id: str,
         random: Random,
         eras: StoreEras,
         clock: Callable[[], float] = boot_s,
     ) -> None:
         self._store = store
-        self._followed = followed
+        self._followed = watcher
         self._process_id = process_id
         self._random = random
         self._clock = clock
@@ -81,7 +81,7 @@
         )
         self._heard_s: dict[str, float] = {}
         self._wakes = asyncio.Event()
-        followed.on_change(self._note)
+        watcher.on_change(self._note)
         eras.on_restore(self._write_again)
 
     def save(self, record: CrashRecord) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_detector.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_detector.py
@@ -31,15 +31,15 @@
 
     A connection that is reset or closed too soon looks the same in both
     cases. An upstream that ended takes no connection for some seconds, so
-    one is tried; ``reached`` tells how that ended.
+    one is tried; ``probe_connection`` tells how that ended.
     """
 
     def __init__(
         self,
-        reached: Callable[[Upstream], Awaitable[Contact]],
+        probe_connection: Callable[[Upstream], Awaitable[Contact]],
         on_crash: Callable[[CrashRecord], None],
     ) -> None:
-        self._reached = reached
+        self._reached = probe_connection
         self._on_crash = on_crash
         self._broken: dict[UpstreamIncarnation, list[BrokenRun]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_gossip.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_gossip.py
@@ -16,7 +16,7 @@
 from lacewing_common.log import Part
 from lacewing_common.settings import parse_address
 
-from lacewing_daemon.direct._metrics import CRASH_NEWS
+from lacewing_daemon.direct._metrics import CRASH_MESSAGES
 from lacewing_daemon.direct.crashes._messages import COMPARE_METHOD
 from lacewing_daemon.direct.crashes._messages import CompareReply
 from lacewing_daemon.direct.crashes._messages import CompareRequest
@@ -25,8 +25,8 @@
 from lacewing_daemon.direct.crashes._messages import TELL_METHOD
 from lacewing_daemon.direct.crashes._record import CrashRecord
 from lacewing_daemon.direct.crashes._registry import CrashRegistry
-from lacewing_daemon.peers import Channels
-from lacewing_daemon.peers import NoReply
+from lacewing_daemon.peers import PeerCallFailed
+from lacewing_daemon.peers import PeerChannels
 
 # Each router passes news on to so many others at once. With up to nine
 # routers all hear it from the first; of 330, all but one in 3,000 do.
@@ -55,27 +55,27 @@
 class CrashGossip:
     """Tell peers what is new, and compare with them what is held.
 
-    ``peer_addresses`` gives the addresses of the other routers, ``take`` takes
-    records and returns those that were new, ``on_undelivered`` is called with
-    records of which some peer did not hear.
+    ``peer_addresses`` gives the addresses of the other routers, ``merge``
+    takes records and returns those that were new, ``on_undelivered`` is called
+    with records of which some peer did not hear.
     """
 
     def __init__(
         self,
         address: str,
-        ledger: CrashRegistry,
+        registry: CrashRegistry,
         peer_addresses: Callable[[], Sequence[str]],
-        take: Callable[[Iterable[CrashRecord]], tuple[CrashRecord, ...]],
+        merge: Callable[[Iterable[CrashRecord]], tuple[CrashRecord, ...]],
         on_undelivered: Callable[[Iterable[CrashRecord]], None],
         random: Random,
     ) -> None:
         self._address = address
-        self._ledger = ledger
+        self._ledger = registry
         self._others = peer_addresses
-        self._take = take
+        self._take = merge
         self._untold = on_undelivered
         self._random = random
-        self._channels = Channels(None)
+        self._channels = PeerChannels(None)
         self._server = Server([self], codec=MsgpackCodec())
         self._listens = False
         self._callers: dict[str, None] = {}
@@ -198,9 +198,9 @@
         answer: object = await self._channels.call(
             address, method, request, reply, ANSWER_S
         )
-        result = 'failed' if isinstance(answer, NoReply) else 'answered'
-        CRASH_NEWS.labels(result).inc()
-        if isinstance(answer, NoReply):
+        result = 'failed' if isinstance(answer, PeerCallFailed) else 'answered'
+        CRASH_MESSAGES.labels(result).inc()
+        if isinstance(answer, PeerCallFailed):
             self._callers.pop(address, None)
             _log.debug('A peer did not answer.', error=answer.message)
         return answer
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
@@ -53,24 +53,24 @@
         process_id: str,
         peers_address: str,
         store: SystemObjects,
-        followed: CollectionWatcher[str],
-        others: Callable[[], Sequence[str]],
-        reached: Callable[[Upstream], Awaitable[Contact]],
+        watcher: CollectionWatcher[str],
+        peer_addresses: Callable[[], Sequence[str]],
+        probe_connection: Callable[[Upstream], Awaitable[Contact]],
         random: Random,
         eras: StoreEras,
     ) -> None:
         self._peers_address = peers_address
-        self._others = others
+        self._others = peer_addresses
         self._random = random
         self._registry = CrashRegistry()
         self._probes = ProbeSchedule(random)
-        self._witness = CrashDetector(reached, self._take_own)
-        self._stored = CrashStore(store, followed, process_id, random, eras)
+        self._witness = CrashDetector(probe_connection, self._take_own)
+        self._stored = CrashStore(store, watcher, process_id, random, eras)
         self._own: dict[UpstreamIncarnation, CrashRecord] = {}
         self._waiting: dict[str, set[Cut]] = {}
         self._blocked: frozenset[str] = frozenset()
         self._tell: Callable[[Iterable[CrashRecord], str], None] | None = None
-        followed.on_change(self._take_stored)
+        watcher.on_change(self._take_stored)
 
     def is_blocked(self, fingerprint: str) -> bool:
         """Tell whether a request must not be sent to upstreams."""
--- a/packages/daemon/src/lacewing_daemon/peers/_channels.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_channels.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class NoReply:
+class PeerCallFailed:
     """Report a call that a peer did not answer, and why."""
 
     message: str
@@ -59,7 +59,7 @@
     left: bool = False
 
 
-class Channels:
+class PeerChannels:
     """Call peers by address; open, share and close the connections."""
 
     def __init__(self, tls: ssl.SSLContext | None) -> None:
@@ -77,12 +77,12 @@
         request: object,
         reply_type: type[T],
         timeout_s: float,
-    ) -> T | NoReply:
+    ) -> T | PeerCallFailed:
         """Call one peer once."""
         try:
             held = self._hold(address)
         except SettingsError as error:
-            return NoReply(str(error))
+            return PeerCallFailed(str(error))
         call: UnaryUnaryMethod[Any, Any] = UnaryUnaryMethod(
             held.channel, method, type(request), reply_type
         )
@@ -111,7 +111,7 @@
                 # lost. Reported as that, the loop around the call would go
                 # on, and a process that was told to stop would never end.
                 raise asyncio.CancelledError from error
-            return NoReply(f'{address}: {error!r}')
+            return PeerCallFailed(f'{address}: {error!r}')
         finally:
             held.calls -= 1
             self._close_left()
--- a/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
@@ -16,8 +16,8 @@
 from lacewing_common.wire_peers import Fetched
 from lacewing_common.wire_peers import HeadNote
 
-from lacewing_daemon.peers._channels import Channels
-from lacewing_daemon.peers._channels import NoReply
+from lacewing_daemon.peers._channels import PeerCallFailed
+from lacewing_daemon.peers._channels import PeerChannels
 from lacewing_daemon.peers._replicas import Replicas
 
 # A peer that is there answers 256 KiB within this on the narrowest links in
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, replicas: Replicas, channels: Channels, rng: Random
+        self, replicas: Replicas, channels: PeerChannels, rng: Random
     ) -> None:
         self._replicas = replicas
         self._channels = channels
@@ -149,7 +149,7 @@
         answer = await self._channels.call(
             address, FETCH_METHOD, request, Fetched, patience_s
         )
-        if isinstance(answer, NoReply):
+        if isinstance(answer, PeerCallFailed):
             _log.debug('Fetch failed.', error=answer.message)
             self._patience_s[request.document] = min(
                 2 * patience_s, MOST_CALL_TIMEOUT_S
--- a/packages/daemon/src/lacewing_daemon/peers/_gossip.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_gossip.py
@@ -21,8 +21,8 @@
 from lacewing_common.wire_peers import TableQuery
 from lacewing_common.wire_peers import TableReply
 
-from lacewing_daemon.peers._channels import Channels
-from lacewing_daemon.peers._channels import NoReply
+from lacewing_daemon.peers._channels import PeerCallFailed
+from lacewing_daemon.peers._channels import PeerChannels
 from lacewing_daemon.peers._metrics import EXCHANGES
 from lacewing_daemon.peers._metrics import MEMBERS
 from lacewing_daemon.peers._partners import Partners
@@ -53,7 +53,7 @@
         table: MemberTable,
         updates: GossipUpdates,
         partners: Partners,
-        channels: Channels,
+        channels: PeerChannels,
         rng: Random,
         contacts: Callable[[], tuple[str, ...]],
         clock: RunningClock,
@@ -198,7 +198,7 @@
             Exchange,
             self._clock.extend_timeout(self._settings.probe_s),
         )
-        if isinstance(answer, NoReply):
+        if isinstance(answer, PeerCallFailed):
             EXCHANGES.labels('failed').inc()
             _log.debug('Exchange failed.', error=answer.message)
             return False
@@ -278,7 +278,7 @@
                 TableReply,
                 self._clock.extend_timeout(self._settings.probe_s),
             )
-            if isinstance(answer, NoReply):
+            if isinstance(answer, PeerCallFailed):
                 return
             before = self._table.bucket_hashes
             self._news.apply_table(answer)
--- a/packages/daemon/src/lacewing_daemon/peers/_node.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_node.py
@@ -18,7 +18,7 @@
 from lacewing_common.wire_peers import Liveness
 from lacewing_common.wire_peers import MemberRecord
 
-from lacewing_daemon.peers._channels import Channels
+from lacewing_daemon.peers._channels import PeerChannels
 from lacewing_daemon.peers._fetcher import Fetcher
 from lacewing_daemon.peers._gossip import Gossip
 from lacewing_daemon.peers._members import GossipMembers
@@ -51,7 +51,7 @@
         guards: Mapping[DocumentKind, DocumentValidator],
         contacts: Callable[[], tuple[str, ...]],
         rng: Random,
-        channels: Channels | None = None,
+        channels: PeerChannels | None = None,
     ) -> None:
         self._clock = RunningClock()
         self._table = MemberTable(
@@ -60,7 +60,7 @@
         self._notes = VmNotes()
         self._replicas = Replicas(guards)
         if channels is None:
-            channels = Channels(client_context(settings))
+            channels = PeerChannels(client_context(settings))
         self._channels = channels
         self._fetcher = Fetcher(self._replicas, self._channels, rng)
         self._updates = GossipUpdates(
@@ -104,7 +104,7 @@
         return self._replicas
 
     @property
-    def channels(self) -> Channels:
+    def channels(self) -> PeerChannels:
         """Return the connections to peers."""
         return self._channels
 
--- a/packages/daemon/src/lacewing_daemon/peers/_service.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_service.py
@@ -20,8 +20,8 @@
 from lacewing_common.wire_peers import TableQuery
 from lacewing_common.wire_peers import TableReply
 
-from lacewing_daemon.peers._channels import Channels
-from lacewing_daemon.peers._channels import NoReply
+from lacewing_daemon.peers._channels import PeerCallFailed
+from lacewing_daemon.peers._channels import PeerChannels
 from lacewing_daemon.peers._replicas import Replicas
 from lacewing_daemon.peers._running_clock import RunningClock
 from lacewing_daemon.peers._table import BUCKETS
@@ -44,7 +44,7 @@
         table: MemberTable,
         notes: VmNotes,
         replicas: Replicas,
-        channels: Channels,
+        channels: PeerChannels,
         probe_timeout_s: float,
         rng: Random,
         clock: RunningClock,
@@ -86,7 +86,7 @@
             Exchange,
             self._clock.extend_timeout(self._probe_timeout_s),
         )
-        if isinstance(answer, NoReply):
+        if isinstance(answer, PeerCallFailed):
             await stream.send_message(ProbeReply(False))
             return
         self._news.apply(answer)
--- a/packages/daemon/src/lacewing_daemon/placement/_reporter.py
+++ b/packages/daemon/src/lacewing_daemon/placement/_reporter.py
@@ -8,7 +8,7 @@
 from lacewing_common.wait_event import wait_event
 from lacewing_common.wire_peers import MemberRecord
 
-from lacewing_daemon.peers import Channels
+from lacewing_daemon.peers import PeerChannels
 from lacewing_daemon.placement._members import ServiceMembers
 from lacewing_daemon.placement._report_book import ReportBook
 from lacewing_daemon.placement._reports import DEMAND_METHOD
@@ -35,7 +35,7 @@
     def __init__(
         self,
         members: ServiceMembers,
-        channels: Channels,
+        channels: PeerChannels,
         book: ReportBook,
         report: Callable[[], WorkerReport],
         report_s: float,
