--- a/features/steps/crash_ledger_steps.py
+++ b/features/steps/crash_ledger_steps.py
@@ -34,7 +34,7 @@
 @when('"{name}" is answered at one of them, and told to the others')
 def step_answered(context: Context, name: str) -> None:
     """Clear it at the first, and pass on what there is to tell."""
-    news = context.ledgers[0].clear(name)
+    news = context.ledgers[0].exonerate(name)
     for ledger in context.ledgers[1:]:
         for record in news:
             ledger.merge(record)
--- a/features/steps/direct_load_steps.py
+++ b/features/steps/direct_load_steps.py
@@ -103,7 +103,7 @@
                 continue
             if self._learning:
                 at_s = one.first_ms / 1000
-                self._states[engine].learn_lateness(one.late_ms, at_s)
+                self._states[engine].record_lateness(one.late_ms, at_s)
         self._sent[engine][:] = open_ones
 
 
--- a/features/steps/direct_starts_steps.py
+++ b/features/steps/direct_starts_steps.py
@@ -9,7 +9,7 @@
 from behave import then
 from behave import when
 from behave.runner import Context
-from lacewing_daemon.direct._send import MOVED_PAUSE_S
+from lacewing_daemon.direct._send import MOVED_UPSTREAM_PAUSE_S
 from lacewing_daemon.direct._send import Send
 from lacewing_daemon.direct._silence_detector import SilenceDetector
 from lacewing_daemon.direct._target import Target
@@ -175,7 +175,7 @@
         silence_detector=SilenceDetector(MUTE_S),
         crash_guard=None,
     )
-    route = SimpleNamespace(streams=True, may_repeat=True)
+    route = SimpleNamespace(is_streaming=True, can_retry=True)
     admitted: Any = SimpleNamespace(route=route)
     request: Any = SimpleNamespace(prompt=SimpleNamespace(model=MODEL))
     nothing: Any = None
@@ -197,8 +197,8 @@
     """Look whether it is used, and what is known of it."""
     state = context.before
     now_s = time.monotonic()
-    assert not state.is_usable(now_s + MOVED_PAUSE_S / 2)
-    assert state.is_usable(now_s + MOVED_PAUSE_S)
+    assert not state.is_usable(now_s + MOVED_UPSTREAM_PAUSE_S / 2)
+    assert state.is_usable(now_s + MOVED_UPSTREAM_PAUSE_S)
     assert state.weights(MODEL) == 3
     assert state.other_requests(now_s) == 0
     assert context.knowledge.current_release(MODEL).version == 3
--- a/features/steps/direct_weights_steps.py
+++ b/features/steps/direct_weights_steps.py
@@ -68,7 +68,7 @@
         """Let an engine tell that it has a version."""
         state = self.knowledge.upstream(name)
         assert state is not None
-        state.learn_weights(MODEL, version)
+        state.update_weights(MODEL, version)
 
     def place(self, excluded: frozenset[str] = frozenset()) -> Target:
         """Return where a prompt is placed now."""
--- a/features/steps/estimates_steps.py
+++ b/features/steps/estimates_steps.py
@@ -39,7 +39,7 @@
 ) -> None:
     read_ms = tokens / context.speed
     took_ms = read_ms + context.step_ms + WAY_MS + extra_ms
-    context.estimates.learn_prefill(
+    context.estimates.record_prefill(
         PrefillSample(context.now_s, tokens, shared, took_ms)
     )
     context.now_s += GAP_S
@@ -128,7 +128,7 @@
         tokens = 1 + int(context.random.expovariate(1 / context.tokens))
         guess = max(1, int(tokens * 2 ** context.random.uniform(-1, 1)))
         took_ms = tokens * context.token_ms
-        context.estimates.learn_run(guess, took_ms, context.now_s)
+        context.estimates.record_run(guess, took_ms, context.now_s)
 
 
 @then('a token is estimated to take {step_ms:f} ms within {part:d}%')
@@ -152,7 +152,7 @@
         late_ms = LATE_MS if number < late else 0.0
         spread_ms = context.random.uniform(-50, 50)
         took_ms = context.load_ms + late_ms + spread_ms
-        context.estimates.learn_load(took_ms, context.now_s)
+        context.estimates.record_load(took_ms, context.now_s)
 
 
 @then('a load is estimated to take {load_ms:d} ms within {part:d}%')
--- a/features/steps/hostile_steps.py
+++ b/features/steps/hostile_steps.py
@@ -64,9 +64,9 @@
         left = b''.join(events)
         while left:
             length = random.randrange(1, 20)
-            got.extend(splitter.push(left[:length]))
+            got.extend(splitter.feed(left[:length]))
             left = left[length:]
-        context.pairs.append((events, got, splitter.rest))
+        context.pairs.append((events, got, splitter.remainder))
 
 
 @then('each gives its events whole and in order')
--- a/features/steps/known_starts_steps.py
+++ b/features/steps/known_starts_steps.py
@@ -55,7 +55,7 @@
     async def load(self, upstream: Upstream, order: LoadOrder) -> OrderVerdict:
         """Note an order."""
         self.orders.append(order)
-        return OrderVerdict.TAKEN
+        return OrderVerdict.ACCEPTED
 
 
 class _HeldLease:
@@ -98,8 +98,8 @@
     state.open_request(50.0, 5, NOW_S)
     state.open_copy(300)
     state.record_parts(WALL, PROMPT, ENGINE, NOW_S)
-    state.learn_lateness(200.0, NOW_S)
-    state.learn_load(UpstreamLoad(4, 7, 4), NOW_S)
+    state.record_lateness(200.0, NOW_S)
+    state.update_load(UpstreamLoad(4, 7, 4), NOW_S)
     for _ in range(3):
         state.record_failure(NOW_S)
 
--- a/features/steps/subjects_steps.py
+++ b/features/steps/subjects_steps.py
@@ -10,7 +10,7 @@
 from lacewing_daemon.direct import PromptPart
 from lacewing_daemon.direct import Route
 from lacewing_daemon.direct import Service
-from lacewing_daemon.direct import Share
+from lacewing_daemon.direct import TrafficShare
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._admission import Admitted
 from lacewing_daemon.direct._candidates import by_preference
@@ -120,14 +120,14 @@
         host='host',
         path_prefix='/chat/',
         repeatable=False,
-        streams=True,
+        is_streaming=True,
         resumable=True,
         timeout_s=15.0,
-        target_s=2.0,
-        rank=URGENCY,
+        latency_target_s=2.0,
+        priority=URGENCY,
         max_runs=2,
-        public=True,
-        shares=(Share(SERVICE, 1.0),),
+        is_public=True,
+        shares=(TrafficShare(SERVICE, 1.0),),
     )
     request = CallerRequest(
         'POST',
--- a/features/support/known_engines.py
+++ b/features/support/known_engines.py
@@ -8,7 +8,7 @@
 from lacewing_daemon.direct import Route
 from lacewing_daemon.direct import RoutingConfig
 from lacewing_daemon.direct import Service
-from lacewing_daemon.direct import Share
+from lacewing_daemon.direct import TrafficShare
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct._cluster_state import ClusterState
 
@@ -29,7 +29,7 @@
     1,
     2,
     True,
-    (Share(SERVICE_NAME, 1.0),),
+    (TrafficShare(SERVICE_NAME, 1.0),),
 )
 _LIMITS = Limits(10**6, 15.0)
 
--- a/packages/bench/src/lacewing_bench/crash_errors/_rules.py
+++ b/packages/bench/src/lacewing_bench/crash_errors/_rules.py
@@ -21,7 +21,7 @@
     def merge(self, record: CrashRecord) -> object:
         """Take what ran at a crash."""
 
-    def clear(self, fingerprint: str) -> object:
+    def exonerate(self, fingerprint: str) -> object:
         """Note that a request ran well."""
 
 
@@ -47,7 +47,7 @@
             starts = self._under.setdefault(suspect.fingerprint, set())
             starts.add(record.start)
 
-    def clear(self, fingerprint: str) -> None:
+    def exonerate(self, fingerprint: str) -> None:
         """Note that a request ran well."""
         self._under.pop(fingerprint, None)
 
--- a/packages/bench/src/lacewing_bench/experiment/_router.py
+++ b/packages/bench/src/lacewing_bench/experiment/_router.py
@@ -12,13 +12,13 @@
 from lacewing_daemon.direct import Route
 from lacewing_daemon.direct import RoutingConfig
 from lacewing_daemon.direct import Service
-from lacewing_daemon.direct import Share
+from lacewing_daemon.direct import TrafficShare
 from lacewing_daemon.direct import Upstream
 from lacewing_daemon.direct import UpstreamLoad
 from lacewing_daemon.direct._admission import Admitted
 from lacewing_daemon.direct._choice import NoCapacity
 from lacewing_daemon.direct._cluster_state import ClusterState
-from lacewing_daemon.direct._learning import learn_first_event
+from lacewing_daemon.direct._first_event import record_first_event
 from lacewing_daemon.direct._placing import Placer
 from lacewing_daemon.direct._policy import LoadPolicy
 from lacewing_daemon.direct._settings import Bounds
@@ -177,10 +177,10 @@
         self._silence.stream_opened(
             sent.target.state,
             cut,
-            route.may_repeat,
-            route.pause_s,
+            route.can_retry,
+            route.max_event_gap_s,
             route.abandon_after_s,
-            may_leave if route.may_repeat else _never,
+            may_leave if route.can_retry else _never,
         )
 
     def heard(self, sent: Sent, now_ms: float) -> None:
@@ -199,7 +199,7 @@
         load = UpstreamLoad(
             len(engine.running), len(engine.waiting), engine.model.slots
         )
-        state.learn_load(load, now_s)
+        state.update_load(load, now_s)
         self._learn(sent.target, engine)
         self._placer.cached_parts.record_prefilled(
             sent.target, sent.prompt, now_s
@@ -207,9 +207,9 @@
         counted_ms = sent.target.first_event_ms - sent.target.lateness_ms
         took_ms = now_ms - sent.sent_ms
         if self._learning:
-            state.learn_lateness(took_ms - counted_ms, now_s)
+            state.record_lateness(took_ms - counted_ms, now_s)
         if self._estimating:
-            learn_first_event(
+            record_first_event(
                 self.knowledge.estimates(SERVICE),
                 sent.target,
                 sent.prompt,
@@ -223,7 +223,7 @@
         sent.target.state.close_request()
 
     def _learn(self, target: Target, engine: Engine) -> None:
-        self.knowledge.learn_weights(target.state, MODEL, engine.weights)
+        self.knowledge.update_weights(target.state, MODEL, engine.weights)
 
     def _clock_s(self) -> float:
         return self._now_ms / _MS
@@ -255,7 +255,7 @@
         kind.rank,
         2,
         True,
-        (Share(SERVICE, 1.0),),
+        (TrafficShare(SERVICE, 1.0),),
         kind.pause_ms / _MS,
     )
 
--- a/packages/daemon/src/lacewing_daemon/direct/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/direct/__init__.py
@@ -11,8 +11,8 @@
 from lacewing_daemon.direct._routing_config import Route
 from lacewing_daemon.direct._routing_config import RoutingConfig
 from lacewing_daemon.direct._routing_config import Service
-from lacewing_daemon.direct._routing_config import Share
 from lacewing_daemon.direct._routing_config import Team
+from lacewing_daemon.direct._routing_config import TrafficShare
 from lacewing_daemon.direct._settings import DirectSettings
 from lacewing_daemon.direct._settings import read_direct_settings
 from lacewing_daemon.direct._site import Changes
@@ -53,7 +53,7 @@
     'ReplyHead',
     'Route',
     'Service',
-    'Share',
+    'TrafficShare',
     'Site',
     'SwitchMode',
     'Team',
--- a/packages/daemon/src/lacewing_daemon/direct/_admission.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_admission.py
@@ -53,7 +53,7 @@
             Reason.UNKNOWN_PATH, f'no route for {request.host}{request.path}'
         )
     team: Team | None = None
-    if routing_config.teams is not None and not route.public:
+    if routing_config.teams is not None and not route.is_public:
         if not keys_confirmed:
             # The key may have been taken away without this router knowing.
             return not_run(
--- a/packages/daemon/src/lacewing_daemon/direct/_attempt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_attempt.py
@@ -34,9 +34,9 @@
     opened for another reason, as with a lost packet.
     """
 
-    MADE = 'made'
+    CONNECTED = 'made'
     REFUSED = 'refused'
-    NONE = 'none'
+    UNREACHABLE = 'none'
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
     head: ReplyHead | None = None
     body: bytes = b''
     complete: bool = False
-    contact: Contact = Contact.MADE
+    contact: Contact = Contact.CONNECTED
     broken: bool = False
     opened_s: float = 0.0
 
@@ -85,7 +85,7 @@
         pool: ConnectionPool,
         upstream: Upstream,
         dispatch: Dispatch,
-        may_repeat: bool,
+        can_retry: bool,
         first_wait_s: float,
         gap_wait_s: float,
         max_idle: int,
@@ -98,11 +98,11 @@
         and again every little while, whether to wait no longer.
         """
         try:
-            connection = await pool.acquire(upstream, not may_repeat)
+            connection = await pool.acquire(upstream, not can_retry)
         except ConnectionRefusedError:
             return _unreachable(Contact.REFUSED)
         except OSError:
-            return _unreachable(Contact.NONE)
+            return _unreachable(Contact.UNREACHABLE)
         kept = False
         try:
             self._send(connection, dispatch)
@@ -124,7 +124,7 @@
                 # was given up.
                 connection.close()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Take the answer as broken off."""
         if not self._ended.done():
             self._ended.set_result(False)
--- a/packages/daemon/src/lacewing_daemon/direct/_cluster_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cluster_state.py
@@ -352,10 +352,10 @@
                     )
                 return False
         for model, version in report.weights.items():
-            state.learn_weights(model, version)
+            state.update_weights(model, version)
         return True
 
-    def learn_weights(
+    def update_weights(
         self,
         state: UpstreamState,
         model: str,
@@ -368,7 +368,7 @@
         from the store and could not read it.
         """
         self._learn_load(state, model, version)
-        state.learn_weights(model, version)
+        state.update_weights(model, version)
         named = ReleasedWeights(model, version)
         self.record_release(named, max_age_s, ReleaseSource.UPSTREAM)
 
@@ -386,7 +386,7 @@
         turn_s = plan.times.get(state.upstream.upstream_id)
         if turn_s is None:
             return
-        self.estimates(state.upstream.service).learn_load(
+        self.estimates(state.upstream.service).record_load(
             (named.age_s - turn_s) * _MS, self._clock()
         )
 
--- a/packages/daemon/src/lacewing_daemon/direct/_connection.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_connection.py
@@ -69,7 +69,7 @@
         self._reader = asyncio.create_task(self._read())
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Tell whether a request can be sent on it."""
         if self._stream.closed() or self._sink is not None:
             return False
@@ -99,10 +99,10 @@
         written = self._stream.write(head + body)
         written.add_done_callback(_look_at)
 
-    def release(self, keep_s: float | None) -> bool:
+    def release(self, keep_alive_s: float | None) -> bool:
         """Keep the connection for the next request, if it is sound.
 
-        ``keep_s`` is how long the peer keeps it idle, None if unknown.
+        ``keep_alive_s`` is how long the peer keeps it idle, None if unknown.
         """
         self._sink = None
         if self._stream.closed():
@@ -114,8 +114,8 @@
             self.close()
             return False
         self._idle_since_s = time.monotonic()
-        if keep_s is not None:
-            self._reuse_until_s = self._idle_since_s + keep_s
+        if keep_alive_s is not None:
+            self._reuse_until_s = self._idle_since_s + keep_alive_s
         return True
 
     def close(self) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/_estimates.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_estimates.py
@@ -108,21 +108,21 @@
         self._loads = RecentSamples()
         self._sent = RecentSamples()
 
-    def learn_prefill(self, read: PrefillSample) -> None:
+    def record_prefill(self, read: PrefillSample) -> None:
         """Take a first event before which no other prompt is known to wait."""
         self._reads.learn(read)
 
-    def learn_run(self, tokens: int, took_ms: float, now_s: float) -> None:
+    def record_run(self, tokens: int, took_ms: float, now_s: float) -> None:
         """Take a run of about ``tokens`` from its first event to its end."""
         if tokens > 0 and took_ms > 0:
             self._steps.learn(took_ms / tokens, now_s)
 
-    def learn_load(self, took_ms: float, now_s: float) -> None:
+    def record_load(self, took_ms: float, now_s: float) -> None:
         """Take the time from an engine's turn to load until it had loaded."""
         if took_ms > 0:
             self._loads.learn(took_ms, now_s)
 
-    def learn_expected_prefill(self, read_ms: float, now_s: float) -> None:
+    def record_expected_prefill(self, read_ms: float, now_s: float) -> None:
         """Take the reading that a request was expected to need."""
         self._sent.learn(read_ms, now_s)
 
--- a/packages/daemon/src/lacewing_daemon/direct/_events.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_events.py
@@ -16,11 +16,11 @@
         self._rest = b''
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes after the last whole event."""
         return self._rest
 
-    def push(self, piece: bytes) -> list[bytes]:
+    def feed(self, piece: bytes) -> list[bytes]:
         """Add a piece; return the events that are whole now."""
         data = self._rest + piece
         events = []
--- a/packages/daemon/src/lacewing_daemon/direct/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_exchange.py
@@ -172,7 +172,7 @@
             sent = await self._sending.run(relay, end_s)
             self._sending = None
             self._tries.append(sent.log_entry)
-            self._arrived |= sent.end.contact is Contact.MADE
+            self._arrived |= sent.end.contact is Contact.CONNECTED
             if self._is_answer(sent.end):
                 await self._deliver(relay, sent.end)
                 return None
@@ -276,7 +276,7 @@
         if not budget.allows(now_s, routers, True, others):
             return False
         placer = self._serving.placer
-        if not admitted.route.may_repeat:
+        if not admitted.route.can_retry:
             return self._reply.begun and placer.copy_is_usable(
                 self._request, target, now_s
             )
@@ -304,7 +304,9 @@
         """
         if self._arrived:
             return (end_s - now_s) * _MS
-        wanted_s = admitted.route.target_s * self._serving.policy.patience
+        wanted_s = (
+            admitted.route.latency_target_s * self._serving.policy.patience
+        )
         return (self._request.received_s + wanted_s - now_s) * _MS
 
     def _settle(
@@ -329,7 +331,7 @@
         self._tried |= {state.upstream.upstream_id}
         lost = may_have_run(end.reason, 'the upstream broke off')
         self._refusals.add(lost)
-        if not admitted.route.may_repeat:
+        if not admitted.route.can_retry:
             return self._go_on(target, lost)
         if self._runs >= admitted.route.max_runs or self._sends >= MAX_SENDS:
             return lost
--- a/packages/daemon/src/lacewing_daemon/direct/_learning.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_first_event.py
@@ -6,7 +6,7 @@
 from lacewing_daemon.direct._target import Target
 
 
-def learn_first_event(
+def record_first_event(
     estimates: Estimates,
     target: Target,
     prompt: Prompt,
@@ -18,10 +18,10 @@
     Only if nothing is known to have waited before it, and if the engine was
     not sent the prompt's own part before, which it may have kept.
     """
-    estimates.learn_expected_prefill(target.prefill_ms, now_s)
+    estimates.record_expected_prefill(target.prefill_ms, now_s)
     if not target.is_first or target.wait_ms > target.lateness_ms:
         return
     shared = sum(part.tokens for part in prompt.shared)
-    estimates.learn_prefill(
+    estimates.record_prefill(
         PrefillSample(now_s, prompt.tokens - shared, shared, took_ms)
     )
--- a/packages/daemon/src/lacewing_daemon/direct/_fleet.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_fleet.py
@@ -231,7 +231,7 @@
         """Call back with each configuration that comes into force."""
         self._on_directory = callback
 
-    def learn_weights(
+    def update_weights(
         self, state: UpstreamState, model: str, version: int
     ) -> None:
         """Take the version of weights that an upstream told.
@@ -239,7 +239,7 @@
         If the store told nothing of it, it was named after the last
         confirmation.
         """
-        self._knowledge.learn_weights(
+        self._knowledge.update_weights(
             state, model, version, self._weights.age_s
         )
 
@@ -323,7 +323,7 @@
         models = self._knowledge.models(state.upstream)
         for model, version in state.upstream.weights.items():
             if model in models:
-                self.learn_weights(state, model, version)
+                self.update_weights(state, model, version)
 
     async def _sweep(self) -> None:
         while True:
@@ -344,6 +344,6 @@
     except ConnectionRefusedError:
         return Contact.REFUSED
     except OSError:
-        return Contact.NONE
+        return Contact.UNREACHABLE
     connection.close()
-    return Contact.MADE
+    return Contact.CONNECTED
--- a/packages/daemon/src/lacewing_daemon/direct/_placing.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_placing.py
@@ -263,7 +263,7 @@
         placed: Placement,
     ) -> UpstreamState | None:
         """Return where a copy of a run that must not begin again is kept."""
-        if not asked.engine.copies or asked.admitted.route.may_repeat:
+        if not asked.engine.supports_copies or asked.admitted.route.can_retry:
             return None
         run_ms = asked.prompt.expected_tokens * asked.policy.step_ms
         room = copy_token_limit(
--- a/packages/daemon/src/lacewing_daemon/direct/_planner.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_planner.py
@@ -209,9 +209,9 @@
                 fence=self._lease.fence,
                 verdict=verdict.value,
             )
-            if verdict is OrderVerdict.HELD_ALREADY:
-                state.learn_weights(model, version)
-            if verdict in (OrderVerdict.BUSY, OrderVerdict.OTHER_START):
+            if verdict is OrderVerdict.ALREADY_LOADED:
+                state.update_weights(model, version)
+            if verdict in (OrderVerdict.BUSY, OrderVerdict.OTHER_INCARNATION):
                 # It carries out another order, or a new start is not known
                 # yet on one side; asked again at the next look.
                 ordered[model] = float('-inf')
@@ -229,9 +229,9 @@
         if report is None:
             return OrderVerdict.UNKNOWN
         if not self._knowledge.apply_report(state, report):
-            return OrderVerdict.OTHER_START
+            return OrderVerdict.OTHER_INCARNATION
         if report.weights.get(model, 0) >= version:
-            return OrderVerdict.HELD_ALREADY
+            return OrderVerdict.ALREADY_LOADED
         if report.busy:
             return OrderVerdict.BUSY
         # Looked at last: between this and the sending nothing is awaited.
--- a/packages/daemon/src/lacewing_daemon/direct/_pool.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_pool.py
@@ -35,11 +35,11 @@
         longest_s = FRESH_S if only_fresh else IDLE_S
         while idle:
             connection = idle[-1]
-            if connection.usable and connection.idle_s > longest_s:
+            if connection.is_usable and connection.idle_s > longest_s:
                 # The ones below have been idle for longer still.
                 break
             idle.pop()
-            if connection.usable:
+            if connection.is_usable:
                 return connection
             connection.close()
         return await connect(upstream.address, CONNECT_TIMEOUT_S)
@@ -48,7 +48,7 @@
         self,
         upstream: Upstream,
         connection: UpstreamConnection,
-        keep_s: float | None,
+        keep_alive_s: float | None,
         max_idle: int,
     ) -> None:
         """Keep a connection whose answer is complete.
@@ -57,13 +57,13 @@
         number from all routers together and resets any beyond; idle ones
         count, and after a burst each router holds as many as it had open.
         """
-        if keep_s is not None:
-            keep_s = max(0.0, keep_s - KEEP_MARGIN_S)
+        if keep_alive_s is not None:
+            keep_alive_s = max(0.0, keep_alive_s - KEEP_MARGIN_S)
         idle = self._idle.setdefault(upstream.endpoint, [])
         if len(idle) >= max_idle:
             connection.close()
             return
-        if connection.release(keep_s):
+        if connection.release(keep_alive_s):
             idle.append(connection)
 
     def close_expired(self, known: Iterable[Upstream]) -> None:
@@ -73,7 +73,7 @@
             idle = self._idle[endpoint]
             remaining = []
             for connection in idle:
-                if endpoint in kept and connection.usable:
+                if endpoint in kept and connection.is_usable:
                     if connection.idle_s < IDLE_S:
                         remaining.append(connection)
                         continue
--- a/packages/daemon/src/lacewing_daemon/direct/_routing_config.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_routing_config.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class Share:
+class TrafficShare:
     """Send a part of a route's requests to one service.
 
     ``weight`` is relative to the other shares of the route.
@@ -20,43 +20,42 @@
 class Route:
     """Describe the requests of one host and path prefix.
 
-    ``repeatable``: a request may run more than once.
-    ``streams``: the answer is a stream of events; a ``resumable`` one can
-    be continued after its last event by another upstream.
-    ``timeout_s``: a caller gets a final answer within this time.
-    ``target_s``: an answer, or a stream's first event, is on time within.
-    ``rank``: 0 is the most urgent.
-    ``max_runs``: upstreams on which one request may run.
-    ``pause_s``: a stream is on time with no longer pause between its events,
-    0 if none is told.
+    ``repeatable``: a request may run more than once. ``is_streaming``: the
+    answer is a stream of events; a ``resumable`` one can be continued after
+    its last event by another upstream. ``timeout_s``: a caller gets a final
+    answer within this time. ``latency_target_s``: an answer, or a stream's
+    first event, is on time within. ``priority``: 0 is the most urgent.
+    ``max_runs``: upstreams on which one request may run. ``max_event_gap_s``:
+    a stream is on time with no longer pause between its events, 0 if none is
+    told.
     """
 
     name: str
     host: str
     path_prefix: str
     repeatable: bool
-    streams: bool
+    is_streaming: bool
     resumable: bool
     timeout_s: float
-    target_s: float
-    rank: int
+    latency_target_s: float
+    priority: int
     max_runs: int
-    public: bool
-    shares: tuple[Share, ...]
-    pause_s: float = 0.0
+    is_public: bool
+    shares: tuple[TrafficShare, ...]
+    max_event_gap_s: float = 0.0
 
     @property
-    def may_repeat(self) -> bool:
+    def can_retry(self) -> bool:
         """Tell whether a request that may have run can be sent again."""
-        return self.repeatable or (self.streams and self.resumable)
+        return self.repeatable or (self.is_streaming and self.resumable)
 
     @property
     def abandon_after_s(self) -> float:
         """Return after how long without an event callers leave a stream."""
         return max(
             LEAVES_S,
-            self.target_s * LEAVES_TARGETS,
-            self.pause_s * LEAVES_PAUSES,
+            self.latency_target_s * LEAVES_TARGETS,
+            self.max_event_gap_s * LEAVES_PAUSES,
         )
 
 
@@ -71,10 +70,10 @@
 class Engine:
     """Hold the limits of the model engines of a service.
 
-    ``slots``: requests that run at once; ``kv_tokens``: tokens that fit
-    into an engine's memory; ``kv_token_bytes``: bytes of one of them;
-    ``link_bytes_per_s``: speed of KV transfers. ``copies``: an engine can
-    send the memory of a run to another one as it grows.
+    ``slots``: requests that run at once; ``kv_tokens``: tokens that fit into
+    an engine's memory; ``kv_token_bytes``: bytes of one of them;
+    ``link_bytes_per_s``: speed of KV transfers. ``supports_copies``: an engine
+    can send the memory of a run to another one as it grows.
     """
 
     slots: int
@@ -82,7 +81,7 @@
     kv_token_bytes: float
     link_bytes_per_s: float
     models: tuple[str, ...]
-    copies: bool = False
+    supports_copies: bool = False
 
 
 @dataclass(frozen=True)
@@ -99,11 +98,11 @@
 class Service:
     """Describe the upstreams of one service.
 
-    ``connections``: those that one upstream accepts from all callers.
+    ``max_connections``: those that one upstream accepts from all callers.
     """
 
     name: str
-    connections: int
+    max_connections: int
     engine: Engine | None = None
     kv_store: KvStore | None = None
 
@@ -112,9 +111,9 @@
 
         Half of an upstream's connections are left to requests under way.
         """
-        if not self.connections:
+        if not self.max_connections:
             return LEAST_IDLE
-        return max(LEAST_IDLE, self.connections // (2 * routers))
+        return max(LEAST_IDLE, self.max_connections // (2 * routers))
 
 
 # Kept where an upstream's limit is unknown or small.
@@ -126,7 +125,7 @@
     """Hold what a caller's key stands for."""
 
     name: str
-    rank: int
+    priority: int
     isolated: bool
 
 
--- a/packages/daemon/src/lacewing_daemon/direct/_send.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_send.py
@@ -16,8 +16,8 @@
 from lacewing_daemon.direct._call import CallerRequest
 from lacewing_daemon.direct._clock import boot_s
 from lacewing_daemon.direct._estimates import Estimates
+from lacewing_daemon.direct._first_event import record_first_event
 from lacewing_daemon.direct._fleet import Fleet
-from lacewing_daemon.direct._learning import learn_first_event
 from lacewing_daemon.direct._metrics import ATTEMPTS
 from lacewing_daemon.direct._metrics import FIRST_SECONDS
 from lacewing_daemon.direct._metrics import RUNS_CONTINUED
@@ -32,7 +32,7 @@
 _MS = 1000.0
 # An upstream at whose address another one answers has ended; its entry goes
 # within a few seconds.
-MOVED_PAUSE_S = 4.0
+MOVED_UPSTREAM_PAUSE_S = 4.0
 # An engine that refuses is full or loads weights (0.4 s); others are tried
 # meanwhile.
 REFUSED_PAUSE_S = 0.15
@@ -110,7 +110,7 @@
     async def run(self, relay: StreamRelay, end_s: float) -> SendResult:
         """Send, pass a stream on, and return how it ended."""
         self._note_parts()
-        streams = self._admitted.route.streams
+        streams = self._admitted.route.is_streaming
 
         async def on_piece(head: ReplyHead, piece: bytes) -> None:
             self._fleet.silence_detector.data_received(
@@ -119,7 +119,7 @@
             if self._first_s is None and self._can_go_on:
                 self._watch(attempt)
             self._begin()
-            await relay.take(head, piece)
+            await relay.forward(head, piece)
 
         def gives_up(waited_s: float) -> bool:
             return self._gives_up(waited_s, relay.begun)
@@ -130,11 +130,11 @@
             self._learn,
             on_piece if streams else None,
         )
-        self._cut = attempt.cut
+        self._cut = attempt.abort
         self._guard.run_opened(self._fingerprint, self._cut)
         left_s = end_s - self._began_s
         first_wait_s = left_s
-        if self._admitted.route.may_repeat:
+        if self._admitted.route.can_retry:
             first_wait_s = STREAM_SILENT_S if streams else PLAIN_SILENT_S
         gap_wait_s = first_wait_s
         if self._target.copy_to is not None:
@@ -144,7 +144,7 @@
                 self._fleet.pool,
                 self._state.upstream,
                 self._dispatch(left_s, relay.last_event),
-                self._admitted.route.may_repeat,
+                self._admitted.route.can_retry,
                 first_wait_s,
                 gap_wait_s,
                 self._admitted.service.max_idle_connections(
@@ -155,7 +155,7 @@
         finally:
             self._guard.run_closed(self._fingerprint, self._cut)
             self._fleet.silence_detector.stream_closed(
-                self._state, attempt.cut
+                self._state, attempt.abort
             )
             if self._target.copy_to is not None:
                 self._target.copy_to.close_copy(self._copy_tokens)
@@ -170,16 +170,16 @@
     def _can_go_on(self) -> bool:
         """Tell whether the stream can be continued at another upstream."""
         return (
-            self._admitted.route.may_repeat or self._target.copy_to is not None
+            self._admitted.route.can_retry or self._target.copy_to is not None
         )
 
     def _watch(self, attempt: Attempt) -> None:
         route = self._admitted.route
         self._fleet.silence_detector.stream_opened(
             self._state,
-            attempt.cut,
-            route.may_repeat,
-            route.pause_s,
+            attempt.abort,
+            route.can_retry,
+            route.max_event_gap_s,
             route.abandon_after_s,
             self._may_leave,
         )
@@ -193,7 +193,7 @@
         gone on; so it is kept then, to the deadline or to its caller's end.
         """
         route = self._admitted.route
-        if not route.streams:
+        if not route.is_streaming:
             return True
         if begun and not self._may_leave(0):
             return False
@@ -218,8 +218,8 @@
         )
         counted_ms = self._target.first_event_ms - self._target.lateness_ms
         took_ms = (self._first_s - self._began_s) * _MS
-        self._state.learn_lateness(took_ms - counted_ms, self._first_s)
-        learn_first_event(
+        self._state.record_lateness(took_ms - counted_ms, self._first_s)
+        record_first_event(
             self._estimates, self._target, prompt, took_ms, boot_s()
         )
 
@@ -237,7 +237,7 @@
         ):
             return
         took_ms = (time.monotonic() - self._first_s) * _MS
-        self._estimates.learn_run(prompt.expected_tokens, took_ms, boot_s())
+        self._estimates.record_run(prompt.expected_tokens, took_ms, boot_s())
 
     def _note_parts(self) -> None:
         engine = self._admitted.service.engine
@@ -271,19 +271,19 @@
         self._fleet.silence_detector.data_received(
             self._state, time.monotonic()
         )
-        if not self._admitted.route.streams and head.is_signed:
+        if not self._admitted.route.is_streaming and head.is_signed:
             self._begin()
         if self._answered_by_another(head):
             # What it tells is true of itself alone.
-            self._state.exclude_for(time.monotonic(), MOVED_PAUSE_S)
+            self._state.exclude_for(time.monotonic(), MOVED_UPSTREAM_PAUSE_S)
             return
         if self._state.replaced:
             return
         if head.load is not None:
-            self._state.learn_load(head.load, time.monotonic())
+            self._state.update_load(head.load, time.monotonic())
         prompt = self._request.prompt
         if head.weights is not None and prompt is not None:
-            self._fleet.learn_weights(self._state, prompt.model, head.weights)
+            self._fleet.update_weights(self._state, prompt.model, head.weights)
 
     def _answered_by_another(self, head: ReplyHead) -> bool:
         upstream_id = self._state.upstream.upstream_id
@@ -313,7 +313,7 @@
         if end.contact is Contact.REFUSED:
             self._state.record_refused_connection(now_s)
             return
-        if end.contact is Contact.NONE:
+        if end.contact is Contact.UNREACHABLE:
             self._state.record_failure(now_s)
             return
         self._state.exclude_for(now_s, REFUSED_PAUSE_S)
--- a/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
@@ -39,15 +39,16 @@
 class WatchedStream:
     """Hold what is watched of a stream that has begun.
 
-    ``cut`` breaks it off. ``may_repeat``: it may begin again elsewhere; it has
-    a copy else. ``pause_s``: the pause between two events that its route
-    allows, 0 if it tells none; ``abandon_after_s``: the one after which its
-    caller leaves. ``can_move`` tells whether it could be finished elsewhere.
+    ``abort`` breaks it off. ``can_retry``: it may begin again elsewhere; it
+    has a copy else. ``max_event_gap_s``: the pause between two events that its
+    route allows, 0 if it tells none; ``abandon_after_s``: the one after which
+    its caller leaves. ``can_move`` tells whether it could be finished
+    elsewhere.
     """
 
-    cut: Cut
-    may_repeat: bool
-    pause_s: float
+    abort: Cut
+    can_retry: bool
+    max_event_gap_s: float
     abandon_after_s: float
     can_move: Callable[[int], bool]
 
@@ -57,10 +58,12 @@
         ``silence_s``: how long upstreams that live are silent.
         """
         usual_s = max(
-            least_s, self.pause_s * PAUSE_PART, silence_s * SILENCE_MARGIN
+            least_s,
+            self.max_event_gap_s * PAUSE_PART,
+            silence_s * SILENCE_MARGIN,
         )
         mute_s = min(usual_s, max(least_s, self.abandon_after_s * LEAVES_PART))
-        return mute_s if self.may_repeat else mute_s * ONCE_PATIENCE
+        return mute_s if self.can_retry else mute_s * ONCE_PATIENCE
 
 
 def _always(_others: int) -> bool:
@@ -94,25 +97,25 @@
     def stream_opened(
         self,
         state: UpstreamState,
-        cut: Cut,
-        may_repeat: bool,
-        pause_s: float = 0.0,
+        abort: Cut,
+        can_retry: bool,
+        max_event_gap_s: float = 0.0,
         abandon_after_s: float = USUAL_LEAVES_S,
         can_move: Callable[[int], bool] = _always,
     ) -> None:
         """Watch a stream that has begun."""
         stream = WatchedStream(
-            cut, may_repeat, pause_s, abandon_after_s, can_move
+            abort, can_retry, max_event_gap_s, abandon_after_s, can_move
         )
-        self._open.setdefault(state, {})[cut] = stream
+        self._open.setdefault(state, {})[abort] = stream
 
-    def stream_closed(self, state: UpstreamState, cut: Cut) -> None:
+    def stream_closed(self, state: UpstreamState, abort: Cut) -> None:
         """Forget a stream; it may never have begun."""
         streams = self._open.get(state)
         if streams is None:
             return
-        streams.pop(cut, None)
-        self._kept_until_s.pop(cut, None)
+        streams.pop(abort, None)
+        self._kept_until_s.pop(abort, None)
         if not streams:
             del self._open[state]
 
@@ -155,7 +158,7 @@
                 if silent_s < stream.silence_limit_s(self._mute_s, silence_s):
                     continue
                 if self._may_leave(stream, len(due) + left, now_s):
-                    due.append(stream.cut)
+                    due.append(stream.abort)
             left += len(due)
             if due:
                 self._break_off(state, due, silent_s)
@@ -163,11 +166,11 @@
     def _may_leave(
         self, stream: WatchedStream, others: int, now_s: float
     ) -> bool:
-        if now_s < self._kept_until_s.get(stream.cut, 0.0):
+        if now_s < self._kept_until_s.get(stream.abort, 0.0):
             return False
         if stream.can_move(others):
             return True
-        self._kept_until_s[stream.cut] = now_s + ASK_AGAIN_S
+        self._kept_until_s[stream.abort] = now_s + ASK_AGAIN_S
         return False
 
     def _hears_others(self, silent: UpstreamState, now_s: float) -> bool:
--- a/packages/daemon/src/lacewing_daemon/direct/_site.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_site.py
@@ -84,13 +84,13 @@
     OTHER_START: nothing was ordered, as the upstream has started again.
     """
 
-    TAKEN = 'taken'
-    HELD_ALREADY = 'held-already'
+    ACCEPTED = 'taken'
+    ALREADY_LOADED = 'held-already'
     BUSY = 'busy'
     FENCED = 'fenced'
     REFUSED = 'refused'
     UNKNOWN = 'unknown'
-    OTHER_START = 'other-start'
+    OTHER_INCARNATION = 'other-start'
 
 
 @dataclass(frozen=True)
--- a/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
@@ -28,12 +28,12 @@
         """Return the id of the last event that the caller has."""
         return self._last_event
 
-    async def take(self, head: ReplyHead, piece: bytes) -> None:
+    async def forward(self, head: ReplyHead, piece: bytes) -> None:
         """Pass on the events that are whole; the first begins the answer."""
         if not self._reply.begun:
             self._reply.send_head(head.status, head.headers)
         fresh = []
-        for event in self._splitter.push(piece):
+        for event in self._splitter.feed(piece):
             number = event_id(event)
             if number is not None:
                 if self._last_event is not None:
@@ -48,8 +48,8 @@
         """Complete the answer with what follows the last event."""
         if not self._reply.begun:
             self._reply.send_head(head.status, head.headers)
-        if self._splitter.rest:
-            await self._reply.write(self._splitter.rest)
+        if self._splitter.remainder:
+            await self._reply.write(self._splitter.remainder)
         self._reply.end()
 
     def restart(self) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/_target.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_target.py
@@ -48,5 +48,5 @@
 
     The team's rank goes before the route's.
     """
-    team = 0 if admitted.team is None else admitted.team.rank
-    return min(LEAST_URGENT, team * RANKS_A_TEAM + admitted.route.rank)
+    team = 0 if admitted.team is None else admitted.team.priority
+    return min(LEAST_URGENT, team * RANKS_A_TEAM + admitted.route.priority)
--- a/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
@@ -139,7 +139,7 @@
             if version < before.get(model, 0):
                 self._weights[model] = version
                 continue
-            self.learn_weights(model, version)
+            self.update_weights(model, version)
 
     def mark_replaced(self) -> None:
         """Note that the upstream has started again, under another state.
@@ -187,12 +187,12 @@
         """Return the version of a model's weights there."""
         return self._weights.get(model)
 
-    def learn_weights(self, model: str, version: int) -> None:
+    def update_weights(self, model: str, version: int) -> None:
         """Take a version that the upstream told; versions only grow."""
         if version > self._weights.get(model, 0):
             self._weights[model] = version
 
-    def learn_load(self, load: UpstreamLoad, now_s: float) -> None:
+    def update_load(self, load: UpstreamLoad, now_s: float) -> None:
         """Take the load told with an answer."""
         self._told = load
         self._told_s = now_s
@@ -209,7 +209,7 @@
         age_s = max(0.0, now_s - self._excess_s)
         return self._excess_ms * exp(-age_s / EXCESS_FADES_S)
 
-    def learn_lateness(self, late_ms: float, now_s: float) -> None:
+    def record_lateness(self, late_ms: float, now_s: float) -> None:
         """Take by how much a first event came later than counted."""
         seen_ms = min(MOST_EXCESS_MS, max(0.0, late_ms))
         before_ms = self.lateness_ms(now_s)
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_detector.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_detector.py
@@ -70,7 +70,7 @@
         await asyncio.sleep(COLLECT_WINDOW_S)
         reached = await self._reached(upstream)
         runs = self._broken.pop(start)
-        if reached is Contact.MADE:
+        if reached is Contact.CONNECTED:
             return
         gone = reached is Contact.REFUSED
         runs.sort(key=attrgetter('begun'))
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
@@ -91,16 +91,16 @@
         """Tell whether upstreams have crashed under a request."""
         return self._registry.crash_count(fingerprint) > 0
 
-    def run_opened(self, fingerprint: str, cut: Cut) -> None:
-        """Note a run that has brought nothing yet; ``cut`` breaks it off."""
-        self._waiting.setdefault(fingerprint, set()).add(cut)
+    def run_opened(self, fingerprint: str, abort: Cut) -> None:
+        """Note a run that has brought nothing yet; ``abort`` breaks it off."""
+        self._waiting.setdefault(fingerprint, set()).add(abort)
 
-    def run_closed(self, fingerprint: str, cut: Cut) -> None:
+    def run_closed(self, fingerprint: str, abort: Cut) -> None:
         """Forget a run that has brought an event or has ended."""
         cuts = self._waiting.get(fingerprint)
         if cuts is None:
             return
-        cuts.discard(cut)
+        cuts.discard(abort)
         if not cuts:
             del self._waiting[fingerprint]
 
@@ -117,7 +117,7 @@
 
     def run_succeeded(self, fingerprint: str) -> None:
         """Note that a request was answered: it crashed nothing before."""
-        news = self._registry.clear(fingerprint)
+        news = self._registry.exonerate(fingerprint)
         if news:
             self._judge()
             self._spread(news, '')
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_registry.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_registry.py
@@ -178,7 +178,7 @@
         self._stale |= new
         return new
 
-    def clear(self, fingerprint: str) -> tuple[CrashRecord, ...]:
+    def exonerate(self, fingerprint: str) -> tuple[CrashRecord, ...]:
         """Note that a request ran well; return what there is to tell."""
         news = []
         for start in tuple(self._under.get(fingerprint, ())):
