--- a/features/steps/peers_narrow_steps.py
+++ b/features/steps/peers_narrow_steps.py
@@ -18,7 +18,7 @@
 from lacewing_daemon.peers import PeerCallFailed
 from lacewing_daemon.peers import PeerChannels
 from lacewing_daemon.peers._fetcher import Fetcher
-from lacewing_daemon.peers._replicas import Replicas
+from lacewing_daemon.peers._replicas import DocumentReplicas
 
 NAME = DocumentName(DocumentKind.BUNDLE, 'bundle')
 OFFERER = '127.0.0.1:1'
@@ -92,7 +92,7 @@
 @when('the offer is heard {count:d} times')
 def step_heard(context: Context, count: int) -> None:
     """Hear the offer, each time once the last fetch has ended."""
-    context.replicas = Replicas({DocumentKind.BUNDLE: lambda _: None})
+    context.replicas = DocumentReplicas({DocumentKind.BUNDLE: lambda _: None})
     note = HeadNote(NAME, context.peer.head.version)
 
     async def hear() -> None:
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -351,7 +351,7 @@
 @when('peer "{name}" is leaving')
 def when_leaving(context: Context, name: str) -> None:
     """Have a peer say that it takes no new work."""
-    context.bench.run(context.bench.peers[name].node.leave())
+    context.bench.run(context.bench.peers[name].node.announce_leaving())
 
 
 @when('version {version:d} is in force at all peers')
--- a/features/steps/router_count_steps.py
+++ b/features/steps/router_count_steps.py
@@ -116,7 +116,7 @@
 @when('one leaves and the others look')
 def step_leaves(context: Context) -> None:
     """Stop one regularly."""
-    asyncio.run(context.counts.pop().leave())
+    asyncio.run(context.counts.pop().deregister())
     asyncio.run(_look(context))
 
 
--- a/packages/common/src/lacewing_common/bundles/_validator.py
+++ b/packages/common/src/lacewing_common/bundles/_validator.py
@@ -22,7 +22,7 @@
 
 
 class BundleValidator:
-    """Be the ``DocumentGuard`` of bundles.
+    """Be the ``DocumentValidator`` of bundles.
 
     ``remember`` belongs in the ``on_change`` of the documents. Without it a
     key that operators have withdrawn could still sign: its holder would
--- a/packages/daemon/src/lacewing_daemon/_serve.py
+++ b/packages/daemon/src/lacewing_daemon/_serve.py
@@ -158,7 +158,7 @@
     async def _stop(self, role: RunningRole) -> Exit:
         ended = Exit.OK
         self._report_drain(role, 'begins')
-        self._follow(self._node.leave())
+        self._follow(self._node.announce_leaving())
         try:
             async with asyncio.timeout(self._settings.drain_s):
                 await role.drain()
--- a/packages/daemon/src/lacewing_daemon/direct/_attempt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_attempt.py
@@ -30,8 +30,8 @@
 class Contact(Enum):
     """Tell whether an upstream could be reached.
 
-    REFUSED: nobody listens at its address. NONE: no connection could be
-    opened for another reason, as with a lost packet.
+    REFUSED: nobody listens at its address. UNREACHABLE: no connection
+    could be opened for another reason, as with a lost packet.
     """
 
     CONNECTED = 'made'
@@ -43,10 +43,10 @@
 class AttemptEnd:
     """Tell how an attempt ended.
 
-    ``head`` is None when no answer began; ``body`` is that of an answer
-    that was not streamed; ``complete`` if nothing of the answer is missing.
-    ``broken``: the upstream ended the connection before the answer's end;
-    ``opened_s``: when it was opened, on the boot clock.
+    ``head`` is None when no answer began; ``body`` is that of an answer that
+    was not streamed; ``complete`` if nothing of the answer is missing.
+    ``connection_broken``: the upstream ended the connection before the
+    answer's end; ``opened_s``: when it was opened, on the boot clock.
     """
 
     verdict: Verdict
@@ -55,7 +55,7 @@
     body: bytes = b''
     complete: bool = False
     contact: Contact = Contact.CONNECTED
-    broken: bool = False
+    connection_broken: bool = False
     opened_s: float = 0.0
 
 
@@ -208,7 +208,7 @@
             return AttemptEnd(
                 Verdict.MAY_HAVE_RUN,
                 Reason.WORKER_FAILED,
-                broken=self._broken,
+                connection_broken=self._broken,
                 opened_s=self._opened_s,
             )
         if head.misdirected:
@@ -225,7 +225,7 @@
                 Reason.STREAM_BROKEN,
                 head,
                 body,
-                broken=self._broken,
+                connection_broken=self._broken,
                 opened_s=self._opened_s,
             )
         if not head.is_signed:
--- a/packages/daemon/src/lacewing_daemon/direct/_caller_reply.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_reply.py
@@ -24,12 +24,12 @@
         self._ended = False
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         """Tell whether the head was sent."""
         return self._begun
 
     @property
-    def ended(self) -> bool:
+    def has_ended(self) -> bool:
         """Tell whether the answer is complete or was cut."""
         return self._ended
 
--- a/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
@@ -175,11 +175,11 @@
             return
         except Exception:
             _log.exception('A request failed.', request=request.request_id)
-            if not reply.ended:
+            if not reply.has_ended:
                 reply.abort()
         finally:
             OPEN_REQUESTS.dec()
-            if not reply.ended:
+            if not reply.has_ended:
                 reply.abort()
 
 
--- a/packages/daemon/src/lacewing_daemon/direct/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_exchange.py
@@ -179,7 +179,7 @@
             refusal = self._settle(admitted, target, sent)
             if refusal is not None:
                 return refusal
-            if sent.end.broken:
+            if sent.end.connection_broken:
                 await self._hear_of_crash()
             relay.restart()
 
@@ -210,7 +210,7 @@
     def _place(
         self, admitted: Admitted, end_s: float
     ) -> Target | NoCapacity | Refusal:
-        """Return where to send, NoRoom to look again, or why not to."""
+        """Return where to send, NoCapacity to look again, or why not to."""
         now_s = time.monotonic()
         placed: Target | NoCapacity
         if self._goes_on is not None:
@@ -248,7 +248,7 @@
 
     def _waits_for_room(self, admitted: Admitted, now_s: float) -> bool:
         """Tell whether a stream that has begun waits for room elsewhere."""
-        if not self._reply.begun:
+        if not self._reply.has_started:
             return False
         if self._room_until_s is None:
             wait_s = admitted.route.abandon_after_s * ROOM_PART
@@ -277,7 +277,7 @@
             return False
         placer = self._serving.placer
         if not admitted.route.can_retry:
-            return self._reply.begun and placer.copy_is_usable(
+            return self._reply.has_started and placer.copy_is_usable(
                 self._request, target, now_s
             )
         if self._runs + 1 >= admitted.route.max_runs:
@@ -343,7 +343,7 @@
         It is the same run: the engine continues after the last event that
         the caller has, from the memory that was copied to it.
         """
-        if not self._reply.begun or self._sends >= MAX_SENDS:
+        if not self._reply.has_started or self._sends >= MAX_SENDS:
             return lost
         self._goes_on = self._serving.placer.continuation(target)
         return lost if self._goes_on is None else None
@@ -357,11 +357,11 @@
         """
         if end.verdict is not Verdict.RAN or end.head is None:
             return False
-        return not self._reply.begun or end.head.status in _SUCCESS
+        return not self._reply.has_started or end.head.status in _SUCCESS
 
     async def _deliver(self, relay: StreamRelay, end: AttemptEnd) -> None:
         assert end.head is not None
-        if self._reply.begun:
+        if self._reply.has_started:
             await relay.end(end.head)
         else:
             headers = HTTPHeaders(end.head.headers)
@@ -382,7 +382,7 @@
 
     def _refuse(self, refusal: Refusal) -> None:
         status = _status(refusal)
-        if self._reply.begun:
+        if self._reply.has_started:
             # The caller has a part of the answer; cut, it can't be taken
             # for the whole.
             self._reply.abort()
@@ -414,7 +414,7 @@
         REQUESTS.labels(service, str(status), reason).inc()
         deadline_s = self._request.deadline_s or 0.0
         elapsed_s = now_s - self._request.received_s
-        self._serving.log.ended(
+        self._serving.log.log_outcome(
             RequestOutcome(
                 request_id=self._request.request_id,
                 service=service,
--- a/packages/daemon/src/lacewing_daemon/direct/_fleet.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_fleet.py
@@ -269,9 +269,9 @@
             task.add_done_callback(_report_fault)
             self._tasks.append(task)
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Tell the other routers that this one ends."""
-        await self._routers.leave()
+        await self._routers.deregister()
 
     def close(self) -> None:
         """Stop following; close idle connections."""
--- a/packages/daemon/src/lacewing_daemon/direct/_request_log.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_request_log.py
@@ -55,7 +55,7 @@
         self._budget = LineBudget(now_s)
         self._told_s = now_s
 
-    def ended(self, end: RequestOutcome, now_s: float) -> None:
+    def log_outcome(self, end: RequestOutcome, now_s: float) -> None:
         """Tell how a request ended."""
         if self._budget.allow(end.failed, now_s):
             event = 'Request failed.' if end.failed else 'Request answered.'
--- a/packages/daemon/src/lacewing_daemon/direct/_router.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router.py
@@ -152,7 +152,7 @@
         """Hand the lease over and end open requests in the time given."""
         self._stopping = True
         handing_over = asyncio.create_task(self._planner.stop())
-        leaving = asyncio.create_task(self._fleet.leave())
+        leaving = asyncio.create_task(self._fleet.deregister())
         await self._drain()
         handing_over.cancel()
         leaving.cancel()
--- a/packages/daemon/src/lacewing_daemon/direct/_router_count.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router_count.py
@@ -196,7 +196,7 @@
         self._seen = seen
         return max(1, live)
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Remove the own entry, so that the others' parts grow at once."""
         self._leaving = True
         if self._version != MUST_NOT_EXIST:
--- a/packages/daemon/src/lacewing_daemon/direct/_send.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_send.py
@@ -122,7 +122,7 @@
             await relay.forward(head, piece)
 
         def gives_up(waited_s: float) -> bool:
-            return self._gives_up(waited_s, relay.begun)
+            return self._gives_up(waited_s, relay.has_started)
 
         attempt = Attempt(
             self._request,
@@ -307,7 +307,7 @@
             return
         if end.verdict is Verdict.MAY_HAVE_RUN:
             self._state.record_failure(now_s)
-            if end.broken:
+            if end.connection_broken:
                 self._report_broken(end)
             return
         if end.contact is Contact.REFUSED:
--- a/packages/daemon/src/lacewing_daemon/direct/_site.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_site.py
@@ -81,7 +81,7 @@
 class OrderVerdict(Enum):
     """Tell what an upstream did with an order to load weights.
 
-    OTHER_START: nothing was ordered, as the upstream has started again.
+    OTHER_INCARNATION: nothing was ordered, as the upstream has started again.
     """
 
     ACCEPTED = 'taken'
--- a/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
@@ -24,7 +24,7 @@
 class CallReason(Enum):
     """Tell why the store is called.
 
-    QUIET and CHANGE: the call before waited for changes, and told none or
+    NO_CHANGE and CHANGE: the call before waited for changes, and told none or
     some. FAILURE: it failed. READ: a collection is read whole. PEEK: a read
     that may be old, at a tenth of the price.
     """
--- a/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
@@ -19,9 +19,9 @@
         self._last_event = after_event
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         """Tell whether the caller has a part of the answer."""
-        return self._reply.begun
+        return self._reply.has_started
 
     @property
     def last_event(self) -> int | None:
@@ -30,7 +30,7 @@
 
     async def forward(self, head: ReplyHead, piece: bytes) -> None:
         """Pass on the events that are whole; the first begins the answer."""
-        if not self._reply.begun:
+        if not self._reply.has_started:
             self._reply.send_head(head.status, head.headers)
         fresh = []
         for event in self._splitter.feed(piece):
@@ -46,7 +46,7 @@
 
     async def end(self, head: ReplyHead) -> None:
         """Complete the answer with what follows the last event."""
-        if not self._reply.begun:
+        if not self._reply.has_started:
             self._reply.send_head(head.status, head.headers)
         if self._splitter.remainder:
             await self._reply.write(self._splitter.remainder)
--- a/packages/daemon/src/lacewing_daemon/peers/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/peers/__init__.py
@@ -4,12 +4,12 @@
 from lacewing_daemon.peers._channels import PeerChannels
 from lacewing_daemon.peers._node import PeerNode
 from lacewing_daemon.peers._reader import PlatformReader
-from lacewing_daemon.peers._replicas import Replicas
+from lacewing_daemon.peers._replicas import DocumentReplicas
 
 __all__ = [
     'PeerChannels',
     'PeerCallFailed',
     'PeerNode',
     'PlatformReader',
-    'Replicas',
+    'DocumentReplicas',
 ]
--- a/packages/daemon/src/lacewing_daemon/peers/_document_watcher.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_document_watcher.py
@@ -17,7 +17,7 @@
 from lacewing_common.store import StoreError
 from lacewing_common.store import StoreFault
 
-from lacewing_daemon.peers._replicas import Replicas
+from lacewing_daemon.peers._replicas import DocumentReplicas
 
 _PARTS_AT_ONCE = 8
 _RETRY_BASE_S = 0.5
@@ -30,7 +30,7 @@
     """Take each new head of a document, and the parts it lacks."""
 
     def __init__(
-        self, platform: ObjectReads, replicas: Replicas, rng: Random
+        self, platform: ObjectReads, replicas: DocumentReplicas, rng: Random
     ) -> None:
         self._platform = platform
         self._replicas = replicas
--- a/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
@@ -18,7 +18,7 @@
 
 from lacewing_daemon.peers._channels import PeerCallFailed
 from lacewing_daemon.peers._channels import PeerChannels
-from lacewing_daemon.peers._replicas import Replicas
+from lacewing_daemon.peers._replicas import DocumentReplicas
 
 # A peer that is there answers 256 KiB within this on the narrowest links in
 # use (5 Mbit/s, 0.4 s). A larger part, or a link that others fill, takes
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, replicas: Replicas, channels: PeerChannels, rng: Random
+        self, replicas: DocumentReplicas, channels: PeerChannels, rng: Random
     ) -> None:
         self._replicas = replicas
         self._channels = channels
--- a/packages/daemon/src/lacewing_daemon/peers/_gossip.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_gossip.py
@@ -151,7 +151,7 @@
         if len(self._tasks) >= _MAX_RUNNING:
             return
         self._rounds += 1
-        partner = self._partners.next()
+        partner = self._partners.next_partner()
         if partner is not None:
             self._spawn(self._exchange(partner))
         if partner is None or self._rounds % _STRANGER_EVERY == 0:
--- a/packages/daemon/src/lacewing_daemon/peers/_node.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_node.py
@@ -23,7 +23,7 @@
 from lacewing_daemon.peers._gossip import Gossip
 from lacewing_daemon.peers._members import GossipMembers
 from lacewing_daemon.peers._partners import Partners
-from lacewing_daemon.peers._replicas import Replicas
+from lacewing_daemon.peers._replicas import DocumentReplicas
 from lacewing_daemon.peers._running_clock import RunningClock
 from lacewing_daemon.peers._service import PeerService
 from lacewing_daemon.peers._table import MemberTable
@@ -58,7 +58,7 @@
             _my_record(name, settings), lambda: self._clock.now_s
         )
         self._notes = VmNotes()
-        self._replicas = Replicas(guards)
+        self._replicas = DocumentReplicas(guards)
         if channels is None:
             channels = PeerChannels(client_context(settings))
         self._channels = channels
@@ -99,7 +99,7 @@
         return self._service
 
     @property
-    def documents(self) -> Replicas:
+    def documents(self) -> DocumentReplicas:
         """Return the documents of this process."""
         return self._replicas
 
@@ -163,7 +163,7 @@
         self._follow(self._gossip.run())
         self._follow(self._gossip.run_urgent())
 
-    async def leave(self) -> None:
+    async def announce_leaving(self) -> None:
         """Tell a few peers that this process takes no new work."""
         self._table.mark_leaving()
         await self._gossip.flush()
--- a/packages/daemon/src/lacewing_daemon/peers/_partners.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_partners.py
@@ -44,7 +44,7 @@
         self._current: list[str] = []
         self._calls = 0
 
-    def next(self) -> MemberRecord | None:
+    def next_partner(self) -> MemberRecord | None:
         """Return the partner to call now; None while nobody is known."""
         self._drop_lost()
         if self._calls % _CALLS_PER_CHANGE == 0 and self._current:
--- a/packages/daemon/src/lacewing_daemon/peers/_replicas.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_replicas.py
@@ -21,7 +21,7 @@
 _log = get_log(Part.BUNDLE)
 
 
-class Replicas:
+class DocumentReplicas:
     """Implement ``Documents``.
 
     A document that its guard refuses is neither used nor offered: else one
--- a/packages/daemon/src/lacewing_daemon/peers/_service.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_service.py
@@ -22,7 +22,7 @@
 
 from lacewing_daemon.peers._channels import PeerCallFailed
 from lacewing_daemon.peers._channels import PeerChannels
-from lacewing_daemon.peers._replicas import Replicas
+from lacewing_daemon.peers._replicas import DocumentReplicas
 from lacewing_daemon.peers._running_clock import RunningClock
 from lacewing_daemon.peers._table import BUCKETS
 from lacewing_daemon.peers._table import MemberTable
@@ -43,7 +43,7 @@
         news: GossipUpdates,
         table: MemberTable,
         notes: VmNotes,
-        replicas: Replicas,
+        replicas: DocumentReplicas,
         channels: PeerChannels,
         probe_timeout_s: float,
         rng: Random,
--- a/packages/daemon/src/lacewing_daemon/peers/_updates.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_updates.py
@@ -13,7 +13,7 @@
 
 from lacewing_daemon.peers._dissemination import DisseminationQueue
 from lacewing_daemon.peers._fetcher import Fetcher
-from lacewing_daemon.peers._replicas import Replicas
+from lacewing_daemon.peers._replicas import DocumentReplicas
 from lacewing_daemon.peers._table import MemberTable
 from lacewing_daemon.peers._vm_notes import VmNotes
 
@@ -34,7 +34,7 @@
         self,
         table: MemberTable,
         notes: VmNotes,
-        replicas: Replicas,
+        replicas: DocumentReplicas,
         fetcher: Fetcher,
         exchange_s: float,
     ) -> None:
