--- a/packages/daemon/src/lacewing_daemon/direct/_connection.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_connection.py
@@ -1,10 +1,9 @@
-"""Speak HTTP/1.1 with one upstream over one connection.
+"""Send HTTP/1.1 requests to an upstream over a single connection.
 
-tornado's curl client can't be used on this leg. It hands an answer to the
-call that is under way, whichever request the answer belongs to, and drops
-the connection with it; here an answer to another request is read past and
-the awaited one behind it is still delivered. tornado's own connection class
-reads the answers.
+tornado's curl client is unsuitable here: it passes a response to the current
+call even if the response belongs to another request, and then closes the
+connection. This module skips a response to another request and still delivers
+the expected one after it. Responses are parsed by tornado's HTTP1Connection.
 """
 
 import asyncio
@@ -26,39 +25,39 @@
 
 from lacewing_daemon.direct._clock import boot_s
 
-# A peer without power answers nothing, not even with a reset: unsent or
-# unacknowledged bytes end the connection after this long.
-UNACKNOWLEDGED_MS = 1500
-# Probes on a quiet connection find a peer that vanished between two events.
+# A peer without power sends nothing, not even a reset. The kernel closes the
+# connection once data stays unsent or unacknowledged for this long.
+TCP_USER_TIMEOUT_MS = 1500
+# TCP keepalive detects a peer that disappeared between two events.
 KEEPALIVE_IDLE_S = 1
-KEEPALIVE_EVERY_S = 1
+KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# Answers come in pieces; one larger than this is not an answer of ours.
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+# Responses arrive in chunks; no valid response is larger than this.
+MAX_REPLY_BYTES = 64 * 1024 * 1024
 MAX_HEADER_BYTES = 65536
-_INFORMATIONAL = 200
+_MIN_FINAL_STATUS = 200
 
 _log = get_log(Part.LINK)
 
 
 class ReplySink(Protocol):
-    """Take the answer to one request as it arrives."""
+    """Receive the response to one request as it arrives."""
 
     def expects(self, status: int, headers: HTTPHeaders) -> bool:
-        """Tell whether an answer with this head is the awaited one."""
+        """Return whether a response with this head is the expected one."""
 
     def on_head(self, status: int, headers: HTTPHeaders) -> None:
-        """Take the status and the headers."""
+        """Handle the status and the headers."""
 
     async def on_data(self, piece: bytes) -> None:
-        """Take a piece of the body; returns when more may come."""
+        """Handle a chunk of the body; return when ready for the next one."""
 
     def on_end(self, complete: bool) -> None:
-        """Learn that the answer ended; incomplete when it was cut."""
+        """Handle the end of the response; ``complete``: not interrupted."""
 
 
 class UpstreamConnection:
-    """Hold one connection; one request at a time."""
+    """Handle one connection, with one request at a time."""
 
     def __init__(self, stream: IOStream, opened_s: float) -> None:
         self._stream = stream
@@ -70,19 +69,19 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether a request can be sent on it."""
+        """Return whether a request can be sent on it."""
         if self._stream.closed() or self._sink is not None:
             return False
         return time.monotonic() < self._reuse_until_s
 
     @property
     def opened_s(self) -> float:
-        """Return when it was begun to open it, on the boot clock."""
+        """Return when the connection attempt started, on the boot clock."""
         return self._opened_s
 
     @property
     def idle_s(self) -> float:
-        """Return for how long it has carried no request."""
+        """Return the time since the last request on it ended."""
         return time.monotonic() - self._idle_since_s
 
     def send(
@@ -93,24 +92,25 @@
         body: bytes,
         sink: ReplySink,
     ) -> None:
-        """Send one request whose answer goes to the sink."""
+        """Send one request; its response is passed to the sink."""
         self._sink = sink
         head = _format_head(method, path, headers, body)
-        written = self._stream.write(head + body)
-        written.add_done_callback(_look_at)
+        future = self._stream.write(head + body)
+        future.add_done_callback(_retrieve_exception)
 
     def release(self, keep_alive_s: float | None) -> bool:
-        """Keep the connection for the next request, if it is sound.
+        """End a request; return whether the connection can be reused.
 
-        ``keep_alive_s`` is how long the peer keeps it idle, None if unknown.
+        ``keep_alive_s`` is how long the peer keeps an idle connection open,
+        None if unknown.
         """
         self._sink = None
         if self._stream.closed():
             return False
         if self._stream.writing():
-            # The answer came before the body was out. The next request
-            # would wait behind the rest, which the peer may not read any
-            # more.
+            # The response arrived before the request body was sent. The next
+            # request would wait behind the remaining bytes, which the peer
+            # may never read.
             self.close()
             return False
         self._idle_since_s = time.monotonic()
@@ -119,104 +119,107 @@
         return True
 
     def close(self) -> None:
-        """Close the connection; a request on it is cancelled."""
+        """Close the connection and cancel a request on it."""
         self._sink = None
         self._stream.close()
 
     async def _read(self) -> None:
         try:
             while not self._stream.closed():
-                if not await self._read_answer():
+                if not await self._read_reply():
                     return
         except (StreamClosedError, UnsatisfiableReadError):
             return
         finally:
             self._stream.close()
-            self._end(False)
+            self._end_reply(False)
 
-    async def _read_answer(self) -> bool:
+    async def _read_reply(self) -> bool:
         connection = HTTP1Connection(self._stream, True, _PARAMETERS)
-        # This class writes requests itself; the connection object would
-        # otherwise wait for a request of its own to be finished.
+        # This class writes requests itself; HTTP1Connection would otherwise
+        # wait until a request of its own is finished.
         connection.finish()
         self._stream.set_nodelay(True)
-        return await connection.read_response(_AnswerReader(self))
+        return await connection.read_response(_ReplyReader(self))
 
-    def _end(self, complete: bool) -> None:
+    def _end_reply(self, complete: bool) -> None:
         sink = self._sink
         if sink is None:
             return
         self._sink = None
         sink.on_end(complete)
 
-    def _head(self, status: int, headers: HTTPHeaders) -> ReplySink | None:
-        """Return the sink of this answer; None for one to be read past."""
+    def _start_reply(
+        self, status: int, headers: HTTPHeaders
+    ) -> ReplySink | None:
+        """Return the sink of this response; None if it is to be skipped."""
         if self._sink is None:
-            _log.info('Closed a connection: an answer nobody awaits.')
+            _log.info('Closed a connection: unexpected response.')
             self._stream.close()
             return None
         if not self._sink.expects(status, headers):
-            _log.info('Read past an answer to another request.')
+            _log.info('Skipped a response to another request.')
             return None
         self._sink.on_head(status, headers)
         return self._sink
 
-    def _finished(self, sink: ReplySink, framed: bool) -> None:
+    def _finish_reply(self, sink: ReplySink, is_framed: bool) -> None:
         if sink is not self._sink:
             return
-        # Without a length an answer ends with its connection. After a reset
-        # the end looks the same to the reader, but pieces are missing.
-        self._end(framed or self._stream.error is None)
+        # A response without a length ends when the connection is closed. The
+        # parser cannot distinguish that from a reset, after which data is
+        # missing.
+        self._end_reply(is_framed or self._stream.error is None)
 
 
-class _AnswerReader(HTTPMessageDelegate):
-    """Hand one answer to the sink of its connection."""
+class _ReplyReader(HTTPMessageDelegate):
+    """Pass one response to the sink of its connection."""
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self._connection = connection
         self._sink: ReplySink | None = None
-        self._framed = False
+        self._is_framed = False
 
     def headers_received(
         self,
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Find out whose answer begins."""
+        """Determine the sink of the response."""
         assert isinstance(start_line, ResponseStartLine)
-        if start_line.code < _INFORMATIONAL:
+        if start_line.code < _MIN_FINAL_STATUS:
             return
-        self._framed = (
+        self._is_framed = (
             'Content-Length' in headers or 'Transfer-Encoding' in headers
         )
-        self._sink = self._connection._head(start_line.code, headers)
+        self._sink = self._connection._start_reply(start_line.code, headers)
 
     async def data_received(self, chunk: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Pass a chunk of the body to the sink."""
         if self._sink is not None:
             await self._sink.on_data(chunk)
 
     def finish(self) -> None:
-        """Report the end of the answer."""
+        """Report the end of the response."""
         if self._sink is not None:
-            self._connection._finished(self._sink, self._framed)
+            self._connection._finish_reply(self._sink, self._is_framed)
 
     def on_connection_close(self) -> None:
-        """Leave the report to the connection's reader, which ends next."""
+        """Do nothing: the connection's read task ends and reports it."""
 
 
 _PARAMETERS = HTTP1ConnectionParameters(
-    max_header_size=MAX_HEADER_BYTES, max_body_size=MAX_ANSWER_BYTES
+    max_header_size=MAX_HEADER_BYTES, max_body_size=MAX_REPLY_BYTES
 )
 
 
 async def connect(address: str, timeout_s: float) -> UpstreamConnection:
-    """Open a connection to ``ip:port``; raises OSError when it fails."""
+    """Open a connection to ``ip:port``; raise OSError on failure."""
     host, _, port = address.rpartition(':')
     opened_s = boot_s()
-    raw = socket.socket(socket.AF_INET)
-    stream = IOStream(raw)
-    prepare_socket(raw)
+    sock = socket.socket(socket.AF_INET)
+    stream = IOStream(sock)
+    prepare_socket(sock)
     try:
         async with asyncio.timeout(timeout_s):
             await stream.connect((host, int(port)))
@@ -224,26 +227,26 @@
         stream.close()
         if isinstance(stream.error, ConnectionRefusedError):
             raise stream.error from error
-        raise ConnectionError(f'no connection to {address}') from error
+        raise ConnectionError(f'cannot connect to {address}') from error
     except BaseException:
         stream.close()
         raise
     return UpstreamConnection(stream, opened_s)
 
 
-def prepare_socket(raw: socket.socket) -> None:
-    """Send small pieces at once; end the connection to a silent peer."""
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    raw.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS
+def prepare_socket(sock: socket.socket) -> None:
+    """Disable send delays; detect a peer that no longer responds."""
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
     )
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
-        (socket.TCP_KEEPINTVL, KEEPALIVE_EVERY_S),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     ):
-        raw.setsockopt(socket.IPPROTO_TCP, option, value)
+        sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
 def _format_head(
@@ -258,8 +261,8 @@
     return '\r\n'.join(lines).encode('latin1')
 
 
-def _look_at(written: 'asyncio.Future[None]') -> None:
-    # A failed write shows as the end of the answer; the future's own error
-    # only has to be looked at once.
-    if not written.cancelled():
-        written.exception()
+def _retrieve_exception(future: 'asyncio.Future[None]') -> None:
+    # A failed write is reported as the end of the response. Its exception is
+    # retrieved only so that asyncio does not log it.
+    if not future.cancelled():
+        future.exception()
--- a/packages/daemon/src/lacewing_daemon/direct/_pool.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_pool.py
@@ -6,23 +6,26 @@
 from lacewing_daemon.direct._connection import UpstreamConnection
 from lacewing_daemon.direct._upstream import Upstream
 
-# Connecting takes one round trip of a few ms; an opening packet that was
-# dropped comes again only after a second, by when another upstream is better.
+# Connecting takes one round trip of a few ms. A lost SYN packet is resent only
+# after a second; by then another upstream is the better choice.
 CONNECT_TIMEOUT_S = 0.4
-# An upstream may drop an idle connection unseen, and what is sent on it next
-# is reset: it may have run. A request that must not run twice is then lost,
-# so it takes only a connection used this recently, else a new one.
-FRESH_S = 0.8
-# Upstreams that say nothing close idle connections after some seconds.
-IDLE_S = 4.0
-# Closed this much before the peer would, so that its close crosses nothing.
-KEEP_MARGIN_S = 0.7
+# An upstream may close an idle connection unnoticed. The next request on it is
+# reset, and it is unknown whether the request ran. A request that must not run
+# twice would be lost, so it uses only a connection that was idle for less than
+# this, or else a new one.
+MAX_NON_RETRYABLE_IDLE_S = 0.8
+# Upstreams that send no keep-alive time close idle connections after some
+# seconds.
+MAX_IDLE_S = 4.0
+# An idle connection is closed this long before the peer would close it, so
+# that no request is under way when the peer closes.
+KEEP_ALIVE_MARGIN_S = 0.7
 
 _Endpoint = tuple[str, int, str]
 
 
 class ConnectionPool:
-    """Hold the idle connections of each start of an upstream."""
+    """Hold the idle connections of each upstream incarnation."""
 
     def __init__(self) -> None:
         self._idle: dict[_Endpoint, list[UpstreamConnection]] = {}
@@ -30,13 +33,13 @@
     async def acquire(
         self, upstream: Upstream, only_fresh: bool
     ) -> UpstreamConnection:
-        """Return an idle connection or a new one; raises OSError."""
+        """Return an idle connection or a new one; raise OSError on failure."""
         idle = self._idle.get(upstream.endpoint, [])
-        longest_s = FRESH_S if only_fresh else IDLE_S
+        max_idle_s = MAX_NON_RETRYABLE_IDLE_S if only_fresh else MAX_IDLE_S
         while idle:
             connection = idle[-1]
-            if connection.is_usable and connection.idle_s > longest_s:
-                # The ones below have been idle for longer still.
+            if connection.is_usable and connection.idle_s > max_idle_s:
+                # The remaining ones have been idle for even longer.
                 break
             idle.pop()
             if connection.is_usable:
@@ -51,14 +54,15 @@
         keep_alive_s: float | None,
         max_idle: int,
     ) -> None:
-        """Keep a connection whose answer is complete.
+        """Keep a connection whose response is complete.
 
-        ``max_idle`` bounds those kept for an upstream. It accepts a limited
-        number from all routers together and resets any beyond; idle ones
-        count, and after a burst each router holds as many as it had open.
+        ``max_idle`` limits the idle connections to an upstream. An upstream
+        accepts a limited number of connections from all routers together and
+        resets any beyond that. Idle ones count, and after a burst each router
+        would keep as many as it had open.
         """
         if keep_alive_s is not None:
-            keep_alive_s = max(0.0, keep_alive_s - KEEP_MARGIN_S)
+            keep_alive_s = max(0.0, keep_alive_s - KEEP_ALIVE_MARGIN_S)
         idle = self._idle.setdefault(upstream.endpoint, [])
         if len(idle) >= max_idle:
             connection.close()
@@ -67,14 +71,14 @@
             idle.append(connection)
 
     def close_expired(self, known: Iterable[Upstream]) -> None:
-        """Close connections that are idle for long or to unknown peers."""
-        kept = frozenset(upstream.endpoint for upstream in known)
+        """Close expired idle connections and those to unknown upstreams."""
+        known_endpoints = frozenset(upstream.endpoint for upstream in known)
         for endpoint in list(self._idle):
             idle = self._idle[endpoint]
             remaining = []
             for connection in idle:
-                if endpoint in kept and connection.is_usable:
-                    if connection.idle_s < IDLE_S:
+                if endpoint in known_endpoints and connection.is_usable:
+                    if connection.idle_s < MAX_IDLE_S:
                         remaining.append(connection)
                         continue
                 connection.close()
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Find out which requests crash the upstreams that run them."""
+"""Detect requests that crash upstreams, and block them."""
 
 from lacewing_daemon.direct.crashes._guard import CrashGuard
 from lacewing_daemon.direct.crashes._record import CrashRecord
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_crash_store.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_crash_store.py
@@ -1,7 +1,7 @@
-"""Keep records of crashes in the store, for routers that peers don't reach.
+"""Save crash records to the store, for routers that peers cannot reach.
 
-A router that was started after all others were killed hears of crashes from
-nobody, and one that is cut off from its peers may still reach the store.
+A router that starts after all others were killed has no peer to ask, and one
+that is partitioned from its peers may still reach the store.
 """
 
 import asyncio
@@ -27,20 +27,24 @@
 from lacewing_daemon.direct.crashes._registry import MAX_CRASHES
 
 CRASHES = 'crashes'
-# A write that failed is made again after this; while the store is lost, once
-# others have found it, or after so long.
-AGAIN_S = 1.0
-LOST_AGAIN_S = 5.0
-# How often it is looked for records that count no more.
-SWEEP_S = 30.0
-# Answers after which writing the same once more changes nothing.
-_SETTLED = (StoreFault.CONFLICT, StoreFault.TOO_LARGE, StoreFault.REJECTED)
+# Delay before a failed write is retried. While the store is disconnected, the
+# retry waits for the reconnection, but at most for the second time.
+RETRY_DELAY_S = 1.0
+RECONNECT_TIMEOUT_S = 5.0
+# Mean interval between removals of expired records.
+SWEEP_INTERVAL_S = 30.0
+# Faults after which a retry of the same write cannot succeed.
+_PERMANENT_FAULTS = (
+    StoreFault.CONFLICT,
+    StoreFault.TOO_LARGE,
+    StoreFault.REJECTED,
+)
 
 _log = get_log(Part.PLATFORM)
 
 
 def decode_record(text: str) -> CrashRecord | None:
-    """Return a record from the store; None if somebody else wrote it."""
+    """Decode a record from the store; return None if it is invalid."""
     try:
         return msgspec.json.decode(text, type=CrashRecord)
     except msgspec.DecodeError:
@@ -48,17 +52,18 @@
 
 
 @dataclass(frozen=True)
-class _Written:
-    """Hold a record of this router's and when it was first written."""
+class _SavedRecord:
+    """Hold a record of this router and when it was first saved."""
 
     record: CrashRecord
-    at_s: float
+    saved_s: float
 
 
 class CrashStore:
-    """Write records and remove them when they count no more.
+    """Write records to the store and remove them once expired.
 
-    Each router writes what it saw itself; the collection is followed by all.
+    Each router writes the crashes that it detected itself; all routers watch
+    the collection.
     """
 
     def __init__(
@@ -71,85 +76,97 @@
         clock: Callable[[], float] = boot_s,
     ) -> None:
         self._store = store
-        self._followed = watcher
+        self._watcher = watcher
         self._process_id = process_id
         self._random = random
         self._clock = clock
-        self._due: dict[UpstreamIncarnation, CrashRecord] = {}
-        self._written: OrderedDict[UpstreamIncarnation, _Written] = (
+        self._pending: dict[UpstreamIncarnation, CrashRecord] = {}
+        self._saved: OrderedDict[UpstreamIncarnation, _SavedRecord] = (
             OrderedDict()
         )
-        self._heard_s: dict[str, float] = {}
-        self._wakes = asyncio.Event()
-        watcher.on_change(self._note)
-        eras.on_restore(self._write_again)
+        self._first_seen_s: dict[str, float] = {}
+        self._has_pending = asyncio.Event()
+        watcher.on_change(self._on_change)
+        eras.on_restore(self._rewrite)
 
     def save(self, record: CrashRecord) -> None:
-        """Write a record of this router's, once."""
-        if record.start in self._written:
+        """Schedule one write of a record of this router."""
+        if record.start in self._saved:
             return
-        self._written[record.start] = _Written(record, self._clock())
-        if len(self._written) > MAX_CRASHES:
-            self._written.popitem(last=False)
-        self._due[record.start] = record
-        self._wakes.set()
+        self._saved[record.start] = _SavedRecord(record, self._clock())
+        if len(self._saved) > MAX_CRASHES:
+            self._saved.popitem(last=False)
+        self._pending[record.start] = record
+        self._has_pending.set()
 
     async def run(self) -> None:
-        """Write what is due until cancelled."""
+        """Write pending records until cancelled."""
         while True:
-            await self._wakes.wait()
-            self._wakes.clear()
-            while self._due:
-                if not await self._write(next(iter(self._due))):
-                    await self._rest()
+            await self._has_pending.wait()
+            self._has_pending.clear()
+            while self._pending:
+                if not await self._write(next(iter(self._pending))):
+                    await self._wait_for_retry()
 
     async def sweep(self) -> None:
-        """Remove what counts no more until cancelled."""
+        """Remove expired records until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S * self._random.uniform(0.5, 1.5))
+            await asyncio.sleep(
+                SWEEP_INTERVAL_S * self._random.uniform(0.5, 1.5)
+            )
             oldest_s = self._clock() - CRASH_TTL_S
-            for name, heard_s in list(self._heard_s.items()):
-                if heard_s < oldest_s:
+            for name, first_seen_s in list(self._first_seen_s.items()):
+                if first_seen_s < oldest_s:
                     await self._remove(name)
 
-    def _write_again(self) -> None:
-        """Write what the store may have lost; what it has is a conflict."""
+    def _rewrite(self) -> None:
+        """Write again the records that a restored store may have lost.
+
+        The write of a record that it still has fails with a conflict.
+        """
         oldest_s = self._clock() - CRASH_TTL_S
-        for start, written in self._written.items():
-            if written.at_s < oldest_s:
+        for incarnation, saved in self._saved.items():
+            if saved.saved_s < oldest_s:
                 continue
-            self._due[start] = written.record
-        self._wakes.set()
+            self._pending[incarnation] = saved.record
+        self._has_pending.set()
 
-    async def _rest(self) -> None:
-        if self._followed.disconnected:
-            await self._followed.wait_reconnected(LOST_AGAIN_S)
+    async def _wait_for_retry(self) -> None:
+        if self._watcher.disconnected:
+            await self._watcher.wait_reconnected(RECONNECT_TIMEOUT_S)
             return
-        await asyncio.sleep(AGAIN_S)
-
-    async def _write(self, start: UpstreamIncarnation) -> bool:
-        """Return whether nothing more has to be done for a record."""
-        record = self._due[start]
-        name = f'{start.upstream_id}.{start.started_ms}.{start.again}'
+        await asyncio.sleep(RETRY_DELAY_S)
+
+    async def _write(self, incarnation: UpstreamIncarnation) -> bool:
+        """Write a record; return whether it needs no retry."""
+        record = self._pending[incarnation]
+        name = (
+            f'{incarnation.upstream_id}.{incarnation.started_ms}'
+            f'.{incarnation.again}'
+        )
         name = f'{name}.{self._process_id}'
         answer = await self._store.put(
             CRASHES, name, msgspec.json.encode(record), MUST_NOT_EXIST
         )
         if not isinstance(answer, StoredObject):
-            if answer.fault not in _SETTLED:
+            if answer.fault not in _PERMANENT_FAULTS:
                 return False
             if answer.fault is not StoreFault.CONFLICT:
-                _log.error('Lost a crash.', name=name, reason=answer.message)
-        self._due.pop(start, None)
+                _log.error(
+                    'Cannot save a crash record.',
+                    name=name,
+                    reason=answer.message,
+                )
+        self._pending.pop(incarnation, None)
         return True
 
     async def _remove(self, name: str) -> None:
-        found = await self._store.peek(CRASHES, name)
-        if isinstance(found, StoredObject):
-            await self._store.delete(CRASHES, name, found.version)
+        stored = await self._store.peek(CRASHES, name)
+        if isinstance(stored, StoredObject):
+            await self._store.delete(CRASHES, name, stored.version)
 
-    def _note(self, name: str, text: str | None) -> None:
+    def _on_change(self, name: str, text: str | None) -> None:
         if text is None:
-            self._heard_s.pop(name, None)
+            self._first_seen_s.pop(name, None)
             return
-        self._heard_s.setdefault(name, self._clock())
+        self._first_seen_s.setdefault(name, self._clock())
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_detector.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_detector.py
@@ -1,4 +1,4 @@
-"""Notice that an upstream has crashed, and what ran there."""
+"""Detect that an upstream has crashed, and which requests it ran."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -17,21 +17,22 @@
 from lacewing_daemon.direct.crashes._record import Suspect
 from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
 
-# The connections of a process that ended are reset together; each router
-# reads the resets of its runs within this time.
+# The connections of a terminated process are reset together; each router
+# receives the resets of its runs within this time.
 COLLECT_WINDOW_S = 0.02
-# Of a crash some tens of runs are told, those without an event first.
-MOST_RUNS = 64
+# Maximum number of runs that are reported for a crash; runs without an event
+# come first.
+MAX_RUNS = 64
 
 _log = get_log(Part.LINK)
 
 
 class CrashDetector:
-    """Tell a crashed upstream from one that broke one answer off.
+    """Distinguish a crashed upstream from a single broken connection.
 
-    A connection that is reset or closed too soon looks the same in both
-    cases. An upstream that ended takes no connection for some seconds, so
-    one is tried; ``probe_connection`` tells how that ended.
+    A connection that is reset or closed early looks the same in both cases.
+    A terminated upstream accepts no connection for some seconds, so
+    ``probe_connection`` tries to open one and returns the result.
     """
 
     def __init__(
@@ -39,52 +40,55 @@
         probe_connection: Callable[[Upstream], Awaitable[Contact]],
         on_crash: Callable[[CrashRecord], None],
     ) -> None:
-        self._reached = probe_connection
+        self._probe_connection = probe_connection
         self._on_crash = on_crash
-        self._broken: dict[UpstreamIncarnation, list[BrokenRun]] = {}
+        self._broken_runs: dict[UpstreamIncarnation, list[BrokenRun]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def run_broken(
-        self, upstream: Upstream, start: UpstreamIncarnation, run: BrokenRun
+        self,
+        upstream: Upstream,
+        incarnation: UpstreamIncarnation,
+        run: BrokenRun,
     ) -> None:
-        """Note that a start of an upstream broke a run off."""
+        """Record that the connection of a run at an incarnation broke."""
         if upstream.leaving:
-            # It ends on purpose, whatever it runs.
+            # It shuts down as intended; its runs are not the cause.
             return
-        runs = self._broken.setdefault(start, [])
+        runs = self._broken_runs.setdefault(incarnation, [])
         runs.append(run)
         if len(runs) > 1:
             return
-        task = asyncio.create_task(self._look(upstream, start))
+        task = asyncio.create_task(self._check(upstream, incarnation))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Stop looking."""
+        """Cancel pending checks."""
         for task in self._tasks:
             task.cancel()
 
-    async def _look(
-        self, upstream: Upstream, start: UpstreamIncarnation
+    async def _check(
+        self, upstream: Upstream, incarnation: UpstreamIncarnation
     ) -> None:
         await asyncio.sleep(COLLECT_WINDOW_S)
-        reached = await self._reached(upstream)
-        runs = self._broken.pop(start)
-        if reached is Contact.CONNECTED:
+        contact = await self._probe_connection(upstream)
+        runs = self._broken_runs.pop(incarnation)
+        if contact is Contact.CONNECTED:
             return
-        gone = reached is Contact.REFUSED
+        gone = contact is Contact.REFUSED
         runs.sort(key=attrgetter('begun'))
         UPSTREAM_CRASHES.labels(upstream.service).inc()
         _log.warning(
             'An upstream crashed.',
-            upstream=start.upstream_id,
-            started_ms=start.started_ms,
-            again=start.again,
+            upstream=incarnation.upstream_id,
+            started_ms=incarnation.started_ms,
+            again=incarnation.again,
             gone=gone,
             service=upstream.service,
-            runs=msgspec.to_builtins(runs[:MOST_RUNS]),
+            runs=msgspec.to_builtins(runs[:MAX_RUNS]),
         )
         suspects = []
-        for run in runs[:MOST_RUNS]:
+        for run in runs[:MAX_RUNS]:
             suspects.append(Suspect(run.same, run.begun))
-        self._on_crash(CrashRecord(start, tuple(suspects), gone=gone))
+        self._on_crash(CrashRecord(incarnation, tuple(suspects), gone=gone))
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_fingerprint.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_fingerprint.py
@@ -1,19 +1,19 @@
-"""Tell whether two requests are the same but for their ids."""
+"""Compute digests that are equal for requests that differ only in id."""
 
 from hashlib import blake2b
 
 from lacewing_daemon.direct._call import CallerRequest
 
-# Of 100,000 requests no two that differ share 96 bits, and nobody can make
-# one that passes for another's.
+# 96 bits: no collision is expected among 100,000 requests, and a request with
+# the digest of another one cannot be forged.
 _DIGEST_BYTES = 12
 
 
 def fingerprint(request: CallerRequest, team: str) -> str:
-    """Return a digest of what a request asks for and of who asks it.
+    """Return a digest of the content of a request and of its team.
 
-    A caller that asks again has another request id. The team belongs to it,
-    so that what one team sends never concerns another one.
+    The request id is left out, as it changes with each retry by the caller.
+    The team is included, so that requests of one team never affect another.
     """
     digest = blake2b(digest_size=_DIGEST_BYTES)
     for text in (request.method, request.host, request.path, team):
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_gossip.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_gossip.py
@@ -1,4 +1,4 @@
-"""Exchange news of crashes with the other routers, also without the store."""
+"""Exchange crash records with other routers, independent of the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,36 +28,40 @@
 from lacewing_daemon.peers import PeerCallFailed
 from lacewing_daemon.peers import PeerChannels
 
-# Each router passes news on to so many others at once. With up to nine
-# routers all hear it from the first; of 330, all but one in 3,000 do.
+# Number of peers to which a router forwards each update. With up to nine
+# routers, the first one reaches all others; with 330 routers, all but one in
+# 3,000 receive it.
 FANOUT = 8
-# News of one crash comes from all routers that ran something there.
-GATHER_S = 0.02
-# A peer answers within a few ms. One that lost its power or is cut off does
-# not; the store is told in its place, a caller who repeats at once is back
-# within some 0.1 s.
-ANSWER_S = 0.5
-# Routers compare what they hold with one other at random, as news may be
-# lost with whom it was told to: often after a crash, then now and then, so
-# that a router that was cut off has it soon after.
-COMPARE_S = 1.0
-RECENT_S = 10.0
-COMPARE_SELDOM_S = 8.0
-# A port that is in use at the start is tried again this often. The router
-# before, which ends its last requests, holds it for seconds.
+# Updates are batched for this time, since every router with a run at the
+# crashed upstream reports the crash.
+BATCH_DELAY_S = 0.02
+# A peer answers within a few ms, unless it lost power or is partitioned; then
+# the records are written to the store instead. A caller that retries
+# immediately is back after about 0.1 s.
+CALL_TIMEOUT_S = 0.5
+# Each router compares its records with a random peer, since an update is lost
+# if its receivers end before they forward it. The interval is short while the
+# latest crash is recent. The longer interval otherwise brings a router up to
+# date soon after a partition.
+RECENT_COMPARE_INTERVAL_S = 1.0
+RECENT_CRASH_S = 10.0
+COMPARE_INTERVAL_S = 8.0
+# Retry interval if the port is in use at startup. The previous router process
+# keeps it for some seconds while it drains.
 LISTEN_RETRY_S = 1.0
-# The newest records that one answer holds, some kilobytes each.
-MOST_RECORDS = 100
+# Maximum number of records in one message, the latest ones; a record takes
+# several kilobytes.
+MAX_RECORDS = 100
 
 _log = get_log(Part.MEMBERS)
 
 
 class CrashGossip:
-    """Tell peers what is new, and compare with them what is held.
+    """Broadcast crash records to peers and reconcile records with them.
 
-    ``peer_addresses`` gives the addresses of the other routers, ``merge``
-    takes records and returns those that were new, ``on_undelivered`` is called
-    with records of which some peer did not hear.
+    ``peer_addresses`` returns the addresses of the other routers. ``merge``
+    merges records and returns those that contained something new.
+    ``on_undelivered`` is called with records that some peer did not receive.
     """
 
     def __init__(
@@ -70,24 +74,24 @@
         random: Random,
     ) -> None:
         self._address = address
-        self._ledger = registry
-        self._others = peer_addresses
-        self._take = merge
-        self._untold = on_undelivered
+        self._registry = registry
+        self._peer_addresses = peer_addresses
+        self._merge = merge
+        self._on_undelivered = on_undelivered
         self._random = random
         self._channels = PeerChannels(None)
         self._server = Server([self], codec=MsgpackCodec())
-        self._listens = False
-        self._callers: dict[str, None] = {}
-        self._news: list[tuple[CrashRecord, str]] = []
+        self._is_listening = False
+        self._recent_callers: dict[str, None] = {}
+        self._pending: list[tuple[CrashRecord, str]] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Map the methods for grpclib."""
+        """Return the handlers by method, for grpclib."""
         return {
-            TELL_METHOD: _unary(self._on_told, CrashReport, CrashReportAck),
+            TELL_METHOD: _unary(self._on_report, CrashReport, CrashReportAck),
             COMPARE_METHOD: _unary(
-                self._on_compared, CompareRequest, CompareReply
+                self._on_compare, CompareRequest, CompareReply
             ),
         }
 
@@ -95,72 +99,75 @@
         """Listen for peers and compare with them until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._listen())
-            tasks.create_task(self._compare_often())
+            tasks.create_task(self._compare_regularly())
 
     async def _listen(self) -> None:
         """Listen as soon as the port is free.
 
-        Until then this router calls others but is not called, and whoever
-        tries writes to the store.
+        Until then this router calls peers but cannot be called; a peer that
+        cannot reach it writes its records to the store.
         """
         address = parse_address(self._address)
-        told = False
-        while not self._listens:
+        has_failed = False
+        while not self._is_listening:
             try:
                 await self._server.start(address.host, address.port)
-                self._listens = True
+                self._is_listening = True
             except OSError as error:
-                if not told:
+                if not has_failed:
                     _log.error('Cannot listen for peers.', error=str(error))
-                told = True
+                has_failed = True
                 await asyncio.sleep(LISTEN_RETRY_S)
-        if told:
+        if has_failed:
             _log.info('Listens for peers.')
 
-    async def _compare_often(self) -> None:
-        """Compare with one peer after the other."""
+    async def _compare_regularly(self) -> None:
+        """Compare records with one random peer per interval."""
         while True:
             await self._compare()
             self._channels.close_idle()
-            pause_s = COMPARE_SELDOM_S
-            if self._ledger.newest_age_s < RECENT_S:
-                pause_s = COMPARE_S
-            await asyncio.sleep(pause_s * self._random.uniform(0.75, 1.25))
+            interval_s = COMPARE_INTERVAL_S
+            if self._registry.newest_age_s < RECENT_CRASH_S:
+                interval_s = RECENT_COMPARE_INTERVAL_S
+            await asyncio.sleep(interval_s * self._random.uniform(0.75, 1.25))
 
     def broadcast(
         self, records: Iterable[CrashRecord], sender: str = ''
     ) -> None:
-        """Pass news on to a few peers, together with what comes next."""
-        if not self._news:
-            task = asyncio.create_task(self._tell_soon())
+        """Send records to a few peers, batched with those that follow."""
+        if not self._pending:
+            task = asyncio.create_task(self._send_pending())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         for record in records:
-            self._news.append((record, sender))
+            self._pending.append((record, sender))
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for task in self._tasks:
             task.cancel()
-        if self._listens:
+        if self._is_listening:
             self._server.close()
         self._channels.close()
 
-    async def _tell_soon(self) -> None:
-        await asyncio.sleep(GATHER_S)
-        news = tuple(self._news)
-        self._news.clear()
+    async def _send_pending(self) -> None:
+        await asyncio.sleep(BATCH_DELAY_S)
+        batch = tuple(self._pending)
+        self._pending.clear()
         peers = self._peers()
         chosen = self._random.sample(peers, min(FANOUT, len(peers)))
         calls = []
         for address in chosen:
-            # Whoever told of one crash has not heard of the others.
-            unheard = [record for record, sender in news if sender != address]
-            calls.append(self._tell_one(address, tuple(unheard)))
+            # A peer has the records that it sent, but not necessarily the
+            # others of the batch.
+            undelivered = [
+                record for record, sender in batch if sender != address
+            ]
+            calls.append(self._send_report(address, tuple(undelivered)))
         if not all(await asyncio.gather(*calls)):
-            self._untold([record for record, _ in news])
+            self._on_undelivered([record for record, _ in batch])
 
-    async def _tell_one(
+    async def _send_report(
         self, address: str, records: tuple[CrashRecord, ...]
     ) -> bool:
         if not records:
@@ -178,75 +185,83 @@
         if not peers:
             return
         address = self._random.choice(peers)
-        held = self._ledger.records_by_digest
+        records = self._registry.records_by_digest
         answer = await self._call(
             address,
             COMPARE_METHOD,
-            CompareRequest(self._address, tuple(held)),
+            CompareRequest(self._address, tuple(records)),
             CompareReply,
         )
         if not isinstance(answer, CompareReply):
             return
-        self._pass_on(answer.records, address)
-        lacking = [held[one] for one in answer.lacking if one in held]
-        if lacking:
-            await self._tell_one(address, tuple(lacking[-MOST_RECORDS:]))
+        self._forward(answer.records, address)
+        missing = [
+            records[digest] for digest in answer.lacking if digest in records
+        ]
+        if missing:
+            await self._send_report(address, tuple(missing[-MAX_RECORDS:]))
 
     async def _call(
         self, address: str, method: str, request: object, reply: type
     ) -> object:
         answer: object = await self._channels.call(
-            address, method, request, reply, ANSWER_S
+            address, method, request, reply, CALL_TIMEOUT_S
         )
         result = 'failed' if isinstance(answer, PeerCallFailed) else 'answered'
         CRASH_MESSAGES.labels(result).inc()
         if isinstance(answer, PeerCallFailed):
-            self._callers.pop(address, None)
-            _log.debug('A peer did not answer.', error=answer.message)
+            self._recent_callers.pop(address, None)
+            _log.debug('Call to a peer failed.', error=answer.message)
         return answer
 
-    async def _on_told(
+    async def _on_report(
         self, stream: Stream[CrashReport, CrashReportAck]
     ) -> None:
         call = await stream.recv_message()
         if call is None:
             return
-        self._note_caller(call.sender)
-        self._pass_on(call.records, call.sender)
+        self._record_caller(call.sender)
+        self._forward(call.records, call.sender)
         await stream.send_message(CrashReportAck())
 
-    async def _on_compared(
+    async def _on_compare(
         self, stream: Stream[CompareRequest, CompareReply]
     ) -> None:
         call = await stream.recv_message()
         if call is None:
             return
-        self._note_caller(call.sender)
-        theirs = frozenset(call.marks)
-        held = self._ledger.records_by_digest
-        missing = [held[one] for one in held if one not in theirs]
-        lacking = [one for one in call.marks if one not in held]
+        self._record_caller(call.sender)
+        peer_digests = frozenset(call.marks)
+        records = self._registry.records_by_digest
+        missing_there = [
+            records[digest] for digest in records if digest not in peer_digests
+        ]
+        missing_here = [
+            digest for digest in call.marks if digest not in records
+        ]
         await stream.send_message(
-            CompareReply(tuple(missing[-MOST_RECORDS:]), tuple(lacking))
+            CompareReply(
+                tuple(missing_there[-MAX_RECORDS:]), tuple(missing_here)
+            )
         )
 
-    def _pass_on(self, records: Iterable[CrashRecord], sender: str) -> None:
-        news = self._take(records)
-        if news:
-            self.broadcast(news, sender)
+    def _forward(self, records: Iterable[CrashRecord], sender: str) -> None:
+        updates = self._merge(records)
+        if updates:
+            self.broadcast(updates, sender)
 
-    def _note_caller(self, address: str) -> None:
-        """Call back who called: it may be too new to be counted."""
-        self._callers.pop(address, None)
-        self._callers[address] = None
-        if len(self._callers) > FANOUT:
-            del self._callers[next(iter(self._callers))]
+    def _record_caller(self, address: str) -> None:
+        """Treat a caller as a peer: it may be too new to be listed as one."""
+        self._recent_callers.pop(address, None)
+        self._recent_callers[address] = None
+        if len(self._recent_callers) > FANOUT:
+            del self._recent_callers[next(iter(self._recent_callers))]
 
     def _peers(self) -> list[str]:
-        found = dict.fromkeys(self._others())
-        found.update(self._callers)
-        found.pop(self._address, None)
-        return list(found)
+        addresses = dict.fromkeys(self._peer_addresses())
+        addresses.update(self._recent_callers)
+        addresses.pop(self._address, None)
+        return list(addresses)
 
 
 def _unary(function: Any, call: type, reply: type) -> Handler:
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
@@ -26,26 +26,27 @@
 from lacewing_daemon.direct.crashes._registry import CrashRegistry
 from lacewing_daemon.direct.crashes._registry import MAX_CRASHES
 
-# Crashes under one request after which they are written to the store. One
-# crash alone proves nothing, and calls have their price.
-CRASHES_TO_WRITE = 2
-# Peers are heard this much after the start. Importing what is needed takes
-# 60 ms of processor time; before the first reading of the store it would
-# keep the router from being ready.
+# Crashes under one request from which on they are written to the store. A
+# single crash is no evidence, and store calls are expensive.
+MIN_CRASHES_TO_SAVE = 2
+# Delay from process start until peers are served. Importing the modules that
+# this needs takes 60 ms of CPU time; before the first read of the store it
+# would delay readiness.
 PEERS_START_DELAY_S = 0.15
-# How often it is looked for crashes that count no more.
-FORGET_S = 5.0
+# Interval between removals of expired crashes.
+EXPIRY_INTERVAL_S = 5.0
 
-Cut = Callable[[], None]
+AbortCallback = Callable[[], None]
 
 _log = get_log(Part.LINK)
 
 
 class CrashGuard:
-    """Know which requests crash upstreams; share it with all routers.
+    """Track which requests crash upstreams, across all routers.
 
-    What one router sees of a crash goes to its peers at once, and to the
-    store if a second crash adds to it or a peer did not answer.
+    A crash that this router detects is sent to its peers at once. It is also
+    written to the store if a second crash occurs under the same request or
+    if a peer does not answer.
     """
 
     def __init__(
@@ -60,20 +61,24 @@
         eras: StoreEras,
     ) -> None:
         self._peers_address = peers_address
-        self._others = peer_addresses
+        self._peer_addresses = peer_addresses
         self._random = random
         self._registry = CrashRegistry()
         self._probes = ProbeSchedule(random)
-        self._witness = CrashDetector(probe_connection, self._take_own)
-        self._stored = CrashStore(store, watcher, process_id, random, eras)
-        self._own: dict[UpstreamIncarnation, CrashRecord] = {}
-        self._waiting: dict[str, set[Cut]] = {}
+        self._detector = CrashDetector(probe_connection, self._record_own)
+        self._crash_store = CrashStore(
+            store, watcher, process_id, random, eras
+        )
+        self._own_records: dict[UpstreamIncarnation, CrashRecord] = {}
+        self._pending_runs: dict[str, set[AbortCallback]] = {}
         self._blocked: frozenset[str] = frozenset()
-        self._tell: Callable[[Iterable[CrashRecord], str], None] | None = None
-        watcher.on_change(self._take_stored)
+        self._broadcast: (
+            Callable[[Iterable[CrashRecord], str], None] | None
+        ) = None
+        watcher.on_change(self._merge_stored)
 
     def is_blocked(self, fingerprint: str) -> bool:
-        """Tell whether a request must not be sent to upstreams."""
+        """Return whether a request must not be sent to upstreams."""
         return fingerprint in self._registry.blocked
 
     def admits_probe(self, fingerprint: str) -> bool:
@@ -88,134 +93,138 @@
         return self._registry.retry_after_s(fingerprint)
 
     def is_suspected(self, fingerprint: str) -> bool:
-        """Tell whether upstreams have crashed under a request."""
+        """Return whether upstreams have crashed while running a request."""
         return self._registry.crash_count(fingerprint) > 0
 
-    def run_opened(self, fingerprint: str, abort: Cut) -> None:
-        """Note a run that has brought nothing yet; ``abort`` breaks it off."""
-        self._waiting.setdefault(fingerprint, set()).add(abort)
+    def run_opened(self, fingerprint: str, abort: AbortCallback) -> None:
+        """Register a run without an event yet; ``abort`` interrupts it."""
+        self._pending_runs.setdefault(fingerprint, set()).add(abort)
 
-    def run_closed(self, fingerprint: str, abort: Cut) -> None:
-        """Forget a run that has brought an event or has ended."""
-        cuts = self._waiting.get(fingerprint)
-        if cuts is None:
+    def run_closed(self, fingerprint: str, abort: AbortCallback) -> None:
+        """Unregister a run that returned its first event or ended."""
+        callbacks = self._pending_runs.get(fingerprint)
+        if callbacks is None:
             return
-        cuts.discard(abort)
-        if not cuts:
-            del self._waiting[fingerprint]
+        callbacks.discard(abort)
+        if not callbacks:
+            del self._pending_runs[fingerprint]
 
     def run_broken(
         self, upstream: Upstream, run: BrokenRun, opened_s: float
     ) -> None:
-        """Note that an upstream broke a run off.
+        """Record that the connection of a run broke.
 
-        ``opened_s`` is when its connection was opened, on the boot clock.
+        ``opened_s`` is when that connection was opened, on the boot clock.
         """
-        known = UpstreamIncarnation(upstream.upstream_id, upstream.started_ms)
-        start = self._registry.incarnation_of(known, opened_s)
-        self._witness.run_broken(upstream, start, run)
+        latest = UpstreamIncarnation(upstream.upstream_id, upstream.started_ms)
+        incarnation = self._registry.incarnation_of(latest, opened_s)
+        self._detector.run_broken(upstream, incarnation, run)
 
     def run_succeeded(self, fingerprint: str) -> None:
-        """Note that a request was answered: it crashed nothing before."""
-        news = self._registry.exonerate(fingerprint)
-        if news:
-            self._judge()
-            self._spread(news, '')
+        """Record that a request completed, so it caused no earlier crash."""
+        updates = self._registry.exonerate(fingerprint)
+        if updates:
+            self._update_blocks()
+            self._publish(updates, '')
 
     async def run(self) -> None:
-        """Exchange news with peers and the store until cancelled."""
+        """Exchange records with peers and the store until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._stored.run())
-            tasks.create_task(self._stored.sweep())
-            tasks.create_task(self._forget())
+            tasks.create_task(self._crash_store.run())
+            tasks.create_task(self._crash_store.sweep())
+            tasks.create_task(self._expire())
             if self._peers_address:
                 tasks.create_task(self._run_peers())
 
     def close(self) -> None:
-        """Stop looking at upstreams."""
-        self._witness.close()
+        """Cancel pending connection probes of upstreams."""
+        self._detector.close()
 
     async def _run_peers(self) -> None:
         await asyncio.sleep(PEERS_START_DELAY_S)
         from lacewing_daemon.direct.crashes._gossip import CrashGossip
 
-        news = CrashGossip(
+        gossip = CrashGossip(
             self._peers_address,
             self._registry,
-            self._others,
-            self._take,
-            self._store_own,
+            self._peer_addresses,
+            self._merge,
+            self._save_own,
             self._random,
         )
-        self._tell = news.broadcast
+        self._broadcast = gossip.broadcast
         try:
-            await news.run()
+            await gossip.run()
         finally:
-            self._tell = None
-            news.close()
+            self._broadcast = None
+            gossip.close()
 
-    async def _forget(self) -> None:
+    async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(FORGET_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             self._registry.expire()
-            self._judge()
-
-    def _take_own(self, record: CrashRecord) -> None:
-        """Take a crash that this router saw."""
-        before = self._own.get(record.start)
-        if before is not None:
-            suspects = (*before.suspects, *record.suspects)
-            gone = before.gone or record.gone
+            self._update_blocks()
+
+    def _record_own(self, record: CrashRecord) -> None:
+        """Merge and publish a crash that this router detected."""
+        previous = self._own_records.get(record.start)
+        if previous is not None:
+            suspects = (*previous.suspects, *record.suspects)
+            gone = previous.gone or record.gone
             record = CrashRecord(record.start, suspects, gone=gone)
-        self._own[record.start] = record
-        if len(self._own) > MAX_CRASHES:
-            del self._own[next(iter(self._own))]
-        news = self._take((record,))
-        if news:
-            self._spread(news, '')
-
-    def _take_stored(self, name: str, text: str | None) -> None:
+        self._own_records[record.start] = record
+        if len(self._own_records) > MAX_CRASHES:
+            del self._own_records[next(iter(self._own_records))]
+        updates = self._merge((record,))
+        if updates:
+            self._publish(updates, '')
+
+    def _merge_stored(self, name: str, text: str | None) -> None:
         if text is None:
             return
         record = decode_record(text)
         if record is None:
             _log.error('Left an entry out.', collection='crashes', entry=name)
             return
-        self._take((record,))
-
-    def _take(self, records: Iterable[CrashRecord]) -> tuple[CrashRecord, ...]:
-        """Take records; return those that told something new."""
-        news = tuple(one for one in records if self._registry.merge(one))
-        if news:
-            self._store_repeated(news)
-            self._judge()
-        return news
-
-    def _spread(self, news: tuple[CrashRecord, ...], sender: str) -> None:
-        if self._tell is None:
-            self._store_own(news)
+        self._merge((record,))
+
+    def _merge(
+        self, records: Iterable[CrashRecord]
+    ) -> tuple[CrashRecord, ...]:
+        """Merge records; return those that contained something new."""
+        updates = tuple(
+            record for record in records if self._registry.merge(record)
+        )
+        if updates:
+            self._save_repeated(updates)
+            self._update_blocks()
+        return updates
+
+    def _publish(self, updates: tuple[CrashRecord, ...], sender: str) -> None:
+        if self._broadcast is None:
+            self._save_own(updates)
             return
-        self._tell(news, sender)
+        self._broadcast(updates, sender)
 
-    def _store_own(self, records: Iterable[CrashRecord]) -> None:
-        """Write to the store what peers may not have heard."""
+    def _save_own(self, records: Iterable[CrashRecord]) -> None:
+        """Save own records that some peer may not have received."""
         for record in records:
-            own = self._own.get(record.start)
+            own = self._own_records.get(record.start)
             if own is not None:
-                self._stored.save(own)
+                self._crash_store.save(own)
 
-    def _store_repeated(self, news: tuple[CrashRecord, ...]) -> None:
-        """Write to the store what adds to a crash under the same request."""
-        for record in news:
+    def _save_repeated(self, updates: tuple[CrashRecord, ...]) -> None:
+        """Save own records of crashes under a request that has several."""
+        for record in updates:
             for suspect in record.suspects:
-                starts = self._registry.incarnations(suspect.fingerprint)
-                if len(starts) < CRASHES_TO_WRITE:
+                incarnations = self._registry.incarnations(suspect.fingerprint)
+                if len(incarnations) < MIN_CRASHES_TO_SAVE:
                     continue
-                for start in starts & self._own.keys():
-                    self._stored.save(self._own[start])
+                for incarnation in incarnations & self._own_records.keys():
+                    self._crash_store.save(self._own_records[incarnation])
 
-    def _judge(self) -> None:
-        """Act on what is known now."""
+    def _update_blocks(self) -> None:
+        """Apply changes of the blocked and ambiguous requests."""
         blocked = self._registry.blocked
         for fingerprint in blocked - self._blocked:
             _log.warning(
@@ -223,8 +232,8 @@
                 same=fingerprint,
                 crashes=self._registry.crash_count(fingerprint),
             )
-            for cut in tuple(self._waiting.get(fingerprint, ())):
-                cut()
+            for abort in tuple(self._pending_runs.get(fingerprint, ())):
+                abort()
         for fingerprint in self._blocked - blocked:
             _log.info('Lets a request through again.', same=fingerprint)
         self._blocked = blocked
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_messages.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_messages.py
@@ -1,4 +1,4 @@
-"""Define what routers say to each other about crashes."""
+"""Define the messages about crashes between routers."""
 
 import msgspec
 
@@ -9,25 +9,34 @@
 
 
 class CrashReport(msgspec.Struct, frozen=True):
-    """Tell what is new; ``sender`` is ``ip:port`` for calls of peers."""
+    """Report new records.
+
+    ``sender`` is the ``ip:port`` at which the sending router takes calls.
+    """
 
     sender: str
     records: tuple[CrashRecord, ...]
 
 
 class CrashReportAck(msgspec.Struct, frozen=True):
-    """Confirm that the news has come."""
+    """Acknowledge a crash report."""
 
 
 class CompareRequest(msgspec.Struct, frozen=True):
-    """Ask for what the sender lacks; ``marks`` of all that it holds."""
+    """Request the records that the sender does not have.
+
+    ``marks`` holds the digests of all its records.
+    """
 
     sender: str
     marks: tuple[int, ...]
 
 
 class CompareReply(msgspec.Struct, frozen=True):
-    """Give records that the caller lacks, and marks of those lacking here."""
+    """Return the records that the caller does not have.
+
+    ``lacking`` holds the digests of its records that are missing here.
+    """
 
     records: tuple[CrashRecord, ...]
     lacking: tuple[int, ...]
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_probes.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_probes.py
@@ -1,6 +1,6 @@
 """Schedule probes of requests with an ambiguous block.
 
-No input or output; time is the caller's.
+This module does no I/O; the clock is injected.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
     When several requests explain the same crashes equally well, some of them
     may be harmless. A blocked request never runs, so without a probe it could
-    not be cleared before the block expires.
+    not be exonerated before the block expires.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
             self._next[fingerprint] = self._after(FIRST_PROBE_INTERVAL_S)
 
     def admit(self, fingerprint: str) -> bool:
-        """Tell whether a probe is due; if so, schedule the next one."""
+        """Return whether a probe is due; if so, schedule the next one."""
         probe = self._next.get(fingerprint)
         if probe is None or self._clock() < probe.due_s:
             return False
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_record.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_record.py
@@ -1,4 +1,4 @@
-"""Describe a crash of an upstream as routers tell it to each other."""
+"""Define the record of an upstream crash that routers exchange."""
 
 import msgspec
 import xxhash
@@ -7,9 +7,9 @@
 
 
 class UpstreamIncarnation(msgspec.Struct, frozen=True):
-    """Name one start of an upstream; it crashes once at most.
+    """Identify one incarnation of an upstream, which crashes at most once.
 
-    ``again`` counts starts after it that nobody could read in the store.
+    ``again`` counts later restarts that are not known from the store.
     """
 
     upstream_id: str
@@ -18,17 +18,20 @@
 
 
 class Suspect(msgspec.Struct, frozen=True):
-    """Hold a request that a crash broke off; ``begun``: after an event."""
+    """Hold a request that a crash interrupted.
+
+    ``begun`` is set if the request had returned an event.
+    """
 
     fingerprint: str
     begun: bool
 
 
 class CrashRecord(msgspec.Struct, frozen=True):
-    """Hold what ran at an upstream when it crashed, as far as known.
+    """Hold what is known of the requests that ran at a crashed upstream.
 
-    ``cleared`` are the fingerprints of requests that did not cause it;
-    ``gone``: nobody listened at its address any more.
+    ``cleared`` holds the fingerprints of requests that did not cause the
+    crash. ``gone`` is set if the connection probe after it was refused.
     """
 
     start: UpstreamIncarnation
@@ -38,5 +41,5 @@
 
 
 def record_digest(record: CrashRecord) -> int:
-    """Return a digest by which two routers see that both hold a record."""
+    """Return a digest by which routers compare their records."""
     return xxhash.xxh3_64_intdigest(_encode(record))
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_registry.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_registry.py
@@ -1,6 +1,6 @@
-"""Decide from crashes which requests are blocked.
+"""Determine from crashes which requests are blocked.
 
-No input or output; time is the caller's.
+This module does no I/O; the clock is injected.
 """
 
 from collections import Counter
@@ -17,53 +17,55 @@
 from lacewing_daemon.direct.crashes._record import Suspect
 from lacewing_daemon.direct.crashes._record import UpstreamIncarnation
 
-# A request is blocked after so many crashes that nothing else explains; after
-# one less if it is the only one with as many and had brought no event at any.
-# On a model of callers and 5 engines a request then ends 2.5 of them in place
-# of 4.0 and breaks 21 runs off in place of 43; of 1,100 others none is shut
-# out. Where an engine a second crashes for no reason it is 1.1 in place of 0.4
+# A request is blocked after this many crashes that no other request explains.
+# One crash less suffices if no other request has as many and if none of its
+# runs had returned an event. In a model of callers and 5 engines this reduces
+# the engines that a request crashes from 4.0 to 2.5 and the interrupted runs
+# from 43 to 21; none of 1,100 other requests is blocked. If one engine per
+# second crashes for unrelated reasons, 1.1 of them are blocked instead of 0.4
 # (`make crash-errors`).
 CRASHES_TO_BLOCK = 3
-# How long a crash counts. Who repeats what crashes upstreams does so for
-# minutes; who was blocked wrongly gets in again after this.
+# How long a crash counts. Callers repeat a crash-causing request for minutes;
+# a wrongly blocked request is unblocked after this time at the latest.
 CRASH_TTL_S = 600.0
 # Other routers report a crash within this time.
 REPORT_DELAY_S = 2.0
 # Retry delay of blocks that further reports or probes may still lift.
 PROVISIONAL_RETRY_S = 2.0
-# Crashes remembered, the newest. One upstream crashes every few seconds at
-# the most, and each crash takes some kilobytes.
+# Only the latest crashes are kept. An upstream crashes at most once every few
+# seconds, and each crash takes several kilobytes.
 MAX_CRASHES = 500
 
 
 @dataclass
-class _Crash:
-    """Hold what ran at an upstream that crashed, and when that was heard.
+class _CrashState:
+    """Hold what ran at an upstream that crashed.
 
-    ``begun`` maps each request to whether it had brought an event; ``gone``:
-    nobody listened there any more. ``marked`` is the record of it all with
-    its mark, None once out of date.
+    ``received_s`` is when the crash was first reported. ``begun`` maps each
+    request to whether it had returned an event. ``gone`` is set if the
+    connection probe after the crash was refused. ``digested`` caches the
+    record and its digest; None if outdated.
     """
 
-    heard_s: float
+    received_s: float
     begun: dict[str, bool] = field(default_factory=dict)
     cleared: set[str] = field(default_factory=set)
     gone: bool = False
-    marked: tuple[int, CrashRecord] | None = None
+    digested: tuple[int, CrashRecord] | None = None
 
 
 class CrashRegistry:
-    """Hold the crashes of late and tell which requests caused them.
+    """Hold recent crashes and determine which requests caused them.
 
-    All that ran at an upstream is under suspicion when it crashes. Beside a
-    request that crashes one upstream after the other, others run each time;
-    counted alone, those that were repeated beside it would be blocked with
-    it. So the request with the most crashes is held to have caused all of
-    them, and these count for nobody else. A request that is answered well
-    has caused none of the crashes before.
+    Every request that ran at a crashed upstream is a suspect. Other requests
+    run concurrently with one that crashes upstreams repeatedly; if each were
+    counted on its own, those that are repeated at the same time would be
+    blocked as well. Therefore all crashes under the request with the most
+    crashes are attributed to it, and they do not count against any other
+    request. A request that completes has caused none of the crashes before.
 
-    The result depends on what was told, not on the order in which it came,
-    so all routers come to the same.
+    The result depends only on the set of merged records, not on their order,
+    so all routers reach the same result.
     """
 
     def __init__(
@@ -73,46 +75,46 @@
     ) -> None:
         self._to_block = to_block
         self._clock = clock
-        self._crashes: dict[UpstreamIncarnation, _Crash] = {}
-        self._under: dict[str, set[UpstreamIncarnation]] = {}
+        self._crashes: dict[UpstreamIncarnation, _CrashState] = {}
+        self._incarnations: dict[str, set[UpstreamIncarnation]] = {}
         self._blocked: frozenset[str] = frozenset()
         self._ambiguous: frozenset[str] = frozenset()
         self._stale = False
 
     @property
     def empty(self) -> bool:
-        """Tell whether no crash is known."""
+        """Return whether no crash is recorded."""
         return not self._crashes
 
     @property
     def newest_age_s(self) -> float:
-        """Return how long ago the newest crash was heard of."""
+        """Return the time since the latest crash was first reported."""
         if not self._crashes:
             return float('inf')
         newest = next(reversed(self._crashes.values()))
-        return self._clock() - newest.heard_s
+        return self._clock() - newest.received_s
 
     @property
     def records_by_digest(self) -> dict[int, CrashRecord]:
-        """Return a record of each crash by its mark, the newest last."""
-        found = {}
-        for start, crash in self._crashes.items():
-            if crash.marked is None:
-                record = _record(start, crash)
-                crash.marked = (record_digest(record), record)
-            found[crash.marked[0]] = crash.marked[1]
-        return found
+        """Return a record of each crash by its digest, the latest last."""
+        records = {}
+        for incarnation, crash in self._crashes.items():
+            if crash.digested is None:
+                record = _make_record(incarnation, crash)
+                crash.digested = (record_digest(record), record)
+            records[crash.digested[0]] = crash.digested[1]
+        return records
 
     @property
     def blocked(self) -> frozenset[str]:
-        """Return the fingerprints of what is blocked."""
-        self._refresh()
+        """Return the fingerprints of the blocked requests."""
+        self._update_causes()
         return self._blocked
 
     @property
     def ambiguous(self) -> frozenset[str]:
         """Return the blocked requests that may not have caused a crash."""
-        self._refresh()
+        self._update_causes()
         return self._ambiguous
 
     def retry_after_s(self, fingerprint: str) -> float:
@@ -124,8 +126,8 @@
         if fingerprint not in self.blocked:
             return 0.0
         newest_s = 0.0
-        for start in self._under[fingerprint]:
-            newest_s = max(newest_s, self._crashes[start].heard_s)
+        for incarnation in self._incarnations[fingerprint]:
+            newest_s = max(newest_s, self._crashes[incarnation].received_s)
         now_s = self._clock()
         recent = now_s < newest_s + REPORT_DELAY_S
         if fingerprint in self._ambiguous or recent:
@@ -133,136 +135,154 @@
         return max(0.0, newest_s + CRASH_TTL_S - now_s)
 
     def crash_count(self, fingerprint: str) -> int:
-        """Return the crashes under a request, whoever caused them."""
-        return len(self._under.get(fingerprint, ()))
+        """Return the number of crashes under a request, for any cause."""
+        return len(self._incarnations.get(fingerprint, ()))
 
     def incarnations(self, fingerprint: str) -> frozenset[UpstreamIncarnation]:
-        """Return the starts of upstreams that crashed under a request."""
-        return frozenset(self._under.get(fingerprint, ()))
+        """Return the upstream incarnations that crashed under a request."""
+        return frozenset(self._incarnations.get(fingerprint, ()))
 
     def incarnation_of(
-        self, known: UpstreamIncarnation, opened_s: float
+        self, latest: UpstreamIncarnation, opened_s: float
     ) -> UpstreamIncarnation:
-        """Return the start to which a connection was opened.
+        """Return the incarnation to which a connection was opened.
 
-        ``known`` is the one read last in the store. While the store is away
-        later ones are not heard of, and two crashes would count as one. Who
-        takes a connection after a crash that left nobody listening has
-        started again; after a crash without that proof, as with a cut link,
-        it may be the same one.
+        ``latest`` is the one last read from the store. While the store is
+        unavailable, later incarnations are unknown, and two crashes would
+        count as one. An upstream that accepts a connection after a crash
+        with a refused connection probe has restarted. Without that evidence,
+        for example after a network partition, it may be the same incarnation.
         """
-        start = known
+        incarnation = latest
         while True:
-            crash = self._crashes.get(start)
-            if crash is None or not crash.gone or opened_s <= crash.heard_s:
-                return start
-            start = msgspec.structs.replace(start, again=start.again + 1)
+            crash = self._crashes.get(incarnation)
+            if crash is None or not crash.gone or opened_s <= crash.received_s:
+                return incarnation
+            incarnation = msgspec.structs.replace(
+                incarnation, again=incarnation.again + 1
+            )
 
     def merge(self, record: CrashRecord) -> bool:
-        """Take what was told of a crash; false if all of it was known."""
+        """Merge a record; return whether it contained something new."""
         crash = self._crashes.get(record.start)
         new = False
         if crash is None:
             self.expire()
-            crash = _Crash(self._clock())
+            crash = _CrashState(self._clock())
             self._crashes[record.start] = crash
             new = True
         if record.gone and not crash.gone:
             crash.gone = True
-            crash.marked = None
+            crash.digested = None
             new = True
         for fingerprint in record.cleared:
-            new |= self._clear_of(record.start, crash, fingerprint)
+            new |= self._exonerate_in(record.start, crash, fingerprint)
         for suspect in record.suspects:
-            new |= self._suspect(record.start, crash, suspect)
+            new |= self._add_suspect(record.start, crash, suspect)
         self._stale |= new
         return new
 
     def exonerate(self, fingerprint: str) -> tuple[CrashRecord, ...]:
-        """Note that a request ran well; return what there is to tell."""
-        news = []
-        for start in tuple(self._under.get(fingerprint, ())):
-            self._clear_of(start, self._crashes[start], fingerprint)
-            news.append(CrashRecord(start, cleared=(fingerprint,)))
-        self._stale |= bool(news)
-        return tuple(news)
+        """Record that a request completed; return the updates to publish."""
+        updates = []
+        for incarnation in tuple(self._incarnations.get(fingerprint, ())):
+            self._exonerate_in(
+                incarnation, self._crashes[incarnation], fingerprint
+            )
+            updates.append(CrashRecord(incarnation, cleared=(fingerprint,)))
+        self._stale |= bool(updates)
+        return tuple(updates)
 
     def expire(self) -> None:
-        """Drop what counts no more."""
+        """Remove expired crashes and make room for one more."""
         oldest_s = self._clock() - CRASH_TTL_S
-        for start in list(self._crashes):
-            crash = self._crashes[start]
-            if crash.heard_s > oldest_s and len(self._crashes) < MAX_CRASHES:
-                # They are in the order in which they were heard of.
+        for incarnation in list(self._crashes):
+            crash = self._crashes[incarnation]
+            if (
+                crash.received_s > oldest_s
+                and len(self._crashes) < MAX_CRASHES
+            ):
+                # Crashes are in the order in which they were first reported.
                 return
             for fingerprint in crash.begun:
-                self._drop(start, fingerprint)
-            del self._crashes[start]
+                self._remove(incarnation, fingerprint)
+            del self._crashes[incarnation]
             self._stale = True
 
-    def _suspect(
-        self, start: UpstreamIncarnation, crash: _Crash, suspect: Suspect
+    def _add_suspect(
+        self,
+        incarnation: UpstreamIncarnation,
+        crash: _CrashState,
+        suspect: Suspect,
     ) -> bool:
         fingerprint = suspect.fingerprint
         if fingerprint in crash.cleared:
             return False
-        known = crash.begun.get(fingerprint)
-        if known is not None and known <= suspect.begun:
+        begun = crash.begun.get(fingerprint)
+        if begun is not None and begun <= suspect.begun:
             return False
-        # It may have run there twice; the run that had not begun counts.
+        # The request may have run there twice; the run without an event
+        # counts.
         crash.begun[fingerprint] = suspect.begun
-        crash.marked = None
-        self._under.setdefault(fingerprint, set()).add(start)
+        crash.digested = None
+        self._incarnations.setdefault(fingerprint, set()).add(incarnation)
         return True
 
-    def _clear_of(
-        self, start: UpstreamIncarnation, crash: _Crash, fingerprint: str
+    def _exonerate_in(
+        self,
+        incarnation: UpstreamIncarnation,
+        crash: _CrashState,
+        fingerprint: str,
     ) -> bool:
         if fingerprint in crash.cleared:
             return False
         crash.cleared.add(fingerprint)
-        crash.marked = None
+        crash.digested = None
         if crash.begun.pop(fingerprint, None) is not None:
-            self._drop(start, fingerprint)
+            self._remove(incarnation, fingerprint)
         return True
 
-    def _drop(self, start: UpstreamIncarnation, fingerprint: str) -> None:
-        starts = self._under[fingerprint]
-        starts.discard(start)
-        if not starts:
-            del self._under[fingerprint]
+    def _remove(
+        self, incarnation: UpstreamIncarnation, fingerprint: str
+    ) -> None:
+        incarnations = self._incarnations[fingerprint]
+        incarnations.discard(incarnation)
+        if not incarnations:
+            del self._incarnations[fingerprint]
 
-    def _refresh(self) -> None:
+    def _update_causes(self) -> None:
         if self._stale:
-            self._find_causes()
+            self._attribute_crashes()
             self._stale = False
 
-    def _find_causes(self) -> None:
-        """Explain the crashes, those with the most under one request first."""
-        left: dict[str, set[UpstreamIncarnation]] = {}
-        for fingerprint, starts in self._under.items():
-            if len(starts) >= self._to_block - 1:
-                left[fingerprint] = set(starts)
-        found: set[str] = set()
+    def _attribute_crashes(self) -> None:
+        """Attribute crashes to requests, to that with the most first."""
+        unexplained: dict[str, set[UpstreamIncarnation]] = {}
+        for fingerprint, incarnations in self._incarnations.items():
+            if len(incarnations) >= self._to_block - 1:
+                unexplained[fingerprint] = set(incarnations)
+        blocked: set[str] = set()
         ambiguous: set[str] = set()
-        while left:
-            most = max(self._weight(*item) for item in left.items())
+        while unexplained:
+            max_weight = max(
+                self._weight(*item) for item in unexplained.items()
+            )
             causes = []
-            for fingerprint, starts in left.items():
-                if self._weight(fingerprint, starts) == most:
+            for fingerprint, incarnations in unexplained.items():
+                if self._weight(fingerprint, incarnations) == max_weight:
                     causes.append(fingerprint)
-            if not self._is_enough(most, len(causes)):
+            if not self._is_enough(max_weight, len(causes)):
                 break
             ambiguous |= self._ambiguous_among(
-                {cause: left[cause] for cause in causes}
+                {cause: unexplained[cause] for cause in causes}
             )
             explained: set[UpstreamIncarnation] = set()
             for fingerprint in causes:
-                explained |= left.pop(fingerprint)
-            found.update(causes)
-            for starts in left.values():
-                starts -= explained
-        self._blocked = frozenset(found)
+                explained |= unexplained.pop(fingerprint)
+            blocked.update(causes)
+            for incarnations in unexplained.values():
+                incarnations -= explained
+        self._blocked = frozenset(blocked)
         self._ambiguous = frozenset(ambiguous)
 
     def _ambiguous_among(
@@ -271,38 +291,42 @@
         """Return the causes that share too many crashes with other causes."""
         counts = Counter(chain.from_iterable(causes.values()))
         ambiguous = set()
-        for fingerprint, starts in causes.items():
-            unshared = sum(counts[start] == 1 for start in starts)
-            if unshared < min(len(starts), self._to_block - 1):
+        for fingerprint, incarnations in causes.items():
+            unshared = sum(
+                counts[incarnation] == 1 for incarnation in incarnations
+            )
+            if unshared < min(len(incarnations), self._to_block - 1):
                 ambiguous.add(fingerprint)
         return ambiguous
 
-    def _is_enough(self, weight: tuple[int, int], alike: int) -> bool:
-        crashes, unbegun = weight
+    def _is_enough(self, weight: tuple[int, int], tied_count: int) -> bool:
+        crashes, without_event = weight
         if crashes >= self._to_block:
             return True
         if crashes < self._to_block - 1:
             return False
-        return alike == 1 and unbegun == crashes
+        return tied_count == 1 and without_event == crashes
 
     def _weight(
-        self, fingerprint: str, starts: set[UpstreamIncarnation]
+        self, fingerprint: str, incarnations: set[UpstreamIncarnation]
     ) -> tuple[int, int]:
-        """Return the crashes, and those before any event of the request.
+        """Return the crashes, and how many came before the first event.
 
-        What crashes an upstream does so as it begins to run; a request that
-        has brought events for a while is less likely the cause.
+        A crash-causing request crashes its upstream as soon as it runs; one
+        that has already returned events is less likely the cause.
         """
-        unbegun = 0
-        for start in starts:
-            if not self._crashes[start].begun[fingerprint]:
-                unbegun += 1
-        return len(starts), unbegun
+        without_event = 0
+        for incarnation in incarnations:
+            if not self._crashes[incarnation].begun[fingerprint]:
+                without_event += 1
+        return len(incarnations), without_event
 
 
-def _record(start: UpstreamIncarnation, crash: _Crash) -> CrashRecord:
+def _make_record(
+    incarnation: UpstreamIncarnation, crash: _CrashState
+) -> CrashRecord:
     suspects = []
     for fingerprint in sorted(crash.begun):
         suspects.append(Suspect(fingerprint, crash.begun[fingerprint]))
     cleared = tuple(sorted(crash.cleared))
-    return CrashRecord(start, tuple(suspects), cleared, crash.gone)
+    return CrashRecord(incarnation, tuple(suspects), cleared, crash.gone)
