--- a/features/direct_crashes.feature
+++ b/features/direct_crashes.feature
@@ -1,17 +1,16 @@
-Feature: What crashes upstreams is not sent to one after the other
-
-  Rule: A request under which three upstreams ended is blocked
-
-    Scenario Outline: A request that crashes upstreams comes again and again
-      # Engines ended in series, up to five within 1.2 seconds, and 53 were
-      # started in 100 seconds in place of five. One request crashed each
-      # engine that began to run it. Routers sent it on as if its engine had
-      # failed for a reason of its own ("i-e767879241 stream_broken 336 ms",
-      # then "i-fb8d44fd1a stream_broken 186 ms" for one request), and its
-      # caller came back to any router under a new id. No router kept what had
-      # become of the same request before, and none told another one: it ended
-      # 21 engines, and was sent to engines eleven times more after three had
-      # ended. Hundreds of streams broke off that merely ran beside it.
+Feature: Requests that crash upstreams are blocked
+
+  Rule: A request under which three upstreams crashed is blocked
+
+    Scenario Outline: A request that crashes upstreams is repeated
+      # Guards against one request that crashes engine after engine: up to
+      # five crashed within 1.2 seconds, and 53 were started in 100 seconds
+      # instead of five. Routers retried the request on other engines as if
+      # each had failed independently ("i-e767879241 stream_broken 336 ms",
+      # then "i-fb8d44fd1a stream_broken 186 ms"), and its caller repeated it
+      # at any router under a new id. Routers neither recorded nor shared the
+      # outcome: the request crashed 21 engines, was sent to engines eleven
+      # times after the third crash, and hundreds of concurrent streams broke.
       Given a store with a configuration
       And 5 upstreams of "<service>" that come back after a crash
       And 3 direct routers
@@ -26,7 +25,7 @@
         | registry | /records/1      |
         | registry | /certificates/1 |
 
-    Scenario: It is refused as not run, with the time to come back
+    Scenario: A blocked request is refused as not run, with a retry time
       Given a store with a configuration
       And 5 upstreams of "registry" that come back after a crash
       And a direct router
@@ -35,25 +34,24 @@
       Then the answer is 503 with a time to come back
       And it reaches at most 0 more upstreams
 
-    Scenario: An upstream that breaks answers off has not crashed
-      # Symptom: a caller is refused whose upstream merely lost connections.
-      # Sequence: connections are reset four times under the same request;
-      #   the upstream takes the next one at once.
-      # Cause: a reset looks the same to its reader whether its peer ended.
+    Scenario: An upstream that resets connections has not crashed
+      # Guards against blocking a request whose upstream only lost
+      # connections. They are reset four times under the same request, and the
+      # upstream accepts the next one at once. A reset alone does not show
+      # whether the peer has terminated.
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
       And a direct router
       And each upstream resets its next 2 requests
-      When callers send what crashes nothing to "/records/1" 3 times
+      When callers send a harmless request to "/records/1" 3 times
       Then the answer is 200 with the whole body and its proof
 
-  Rule: What one router learns all of them act on
+  Rule: All routers act on the crashes that one of them detects
 
-    Scenario: The store is away
-      # Symptom: each router lets a request end two upstreams of its own.
-      # Sequence: the store is away; upstreams crash under one request, at
-      #   one router after the other.
-      # Cause: crashes were shared through the store alone.
+    Scenario: The store is unavailable
+      # Guards against a request that crashes two upstreams per router. While
+      # the store was unavailable, upstreams crashed under one request at one
+      # router after the other, as crashes were shared only through the store.
       Given a store with a configuration
       And a public path "/open/" of "registry" with one attempt
       And 5 upstreams of "registry" that come back after a crash
@@ -65,13 +63,11 @@
       And it comes again to "/open/1" 6 times after 0 seconds
       Then it reaches at most 0 more upstreams
 
-    Scenario: The store is away and one upstream crashes twice
-      # Symptom: a request goes on to end the same upstream while the store
-      #   is away.
-      # Sequence: an upstream crashes, starts again, crashes again; routers
-      #   know it by the start that they read last.
-      # Cause: both crashes were taken for one, as an upstream crashes but
-      #   once for each start.
+    Scenario: The store is unavailable and one upstream crashes twice
+      # Guards against a request that crashes the same upstream repeatedly
+      # while the store is unavailable. Routers know only the incarnation that
+      # they read last, and an incarnation crashes at most once, so the crash
+      # after a restart was counted as the same one.
       Given a store with a configuration
       And a public path "/open/" of "registry" with one attempt
       And 1 upstream of "registry" that comes back after a crash
@@ -83,29 +79,28 @@
       And it comes again to "/open/1" 4 times after 0 seconds
       Then it reaches at most 0 more upstreams
 
-    Scenario: A router can't listen for the others at its start
-      # Symptom: what a router knows of crashes reaches neither peers nor the
-      #   store, until it is started again.
-      # Sequence: it starts while its port for peers is in use, as by the
-      #   router before it that still ends its last requests.
-      # Cause: it tried to listen once; as that failed, its closing failed
-      #   as well and ended all sharing of crashes.
+    Scenario: The peer port of a router is in use when it starts
+      # Guards against a router that shares its crashes with neither peers
+      # nor the store until it is restarted. Its peer port was in use when it
+      # started, for example by the previous process that was still draining.
+      # It tried to listen only once; then closing the server failed as well,
+      # which ended all sharing of crashes.
       Given a store with a configuration
       And a public path "/open/" of "registry" with one attempt
       And 5 upstreams of "registry" that come back after a crash
       And routers that call each other
-      And another process listens at their ports for peers
+      And another process listens on their peer ports
       And 2 direct routers
       And each router knows the 1 other
       When callers send what crashes them to "/open/1" until 2 have crashed
-      Then 2 crashes are written within 2 seconds
+      Then 2 crash records are saved within 2 seconds
 
-    Scenario: A router can listen for the others some time after its start
+    Scenario: The peer port of a router becomes free after it started
       Given a store with a configuration
       And a public path "/open/" of "registry" with one attempt
       And 5 upstreams of "registry" that come back after a crash
       And routers that call each other
-      And another process listens at their ports for peers
+      And another process listens on their peer ports
       And 2 direct routers
       And each router knows the 1 other
       And that process has ended
@@ -115,50 +110,48 @@
       Then it reaches at most 0 more upstreams
 
     Scenario: All routers are new
-      # Symptom: after a herd of restarts a request ends upstreams again.
-      # Sequence: two upstreams crash under it; all routers are killed, and
-      #   others start that never heard of it.
-      # Cause: what routers tell each other ends with them.
+      # Guards against a request that crashes upstreams again after all
+      # routers were replaced. Two upstreams crash under it, all routers are
+      # killed, and the new ones have no peer that received the records.
       Given a store with a configuration
       And 5 upstreams of "registry" that come back after a crash
       And routers that call each other
       And 2 direct routers
       And each router knows the 1 other
       When callers send what crashes them to "/records/1" until 2 have crashed
-      And 2 crashes are written within 2 seconds
+      And 2 crash records are saved within 2 seconds
       And all routers are replaced
       And it comes again to "/records/1" 4 times after 0 seconds
       Then it reaches at most 0 more upstreams
 
-    Scenario: A new router that the store tells nothing asks its peers
+    Scenario: A new router without records in the store asks its peers
       Given a store with a configuration
       And 5 upstreams of "registry" that come back after a crash
       And routers that call each other
       And 2 direct routers
       And each router knows the 1 other
       When callers send what crashes them to "/records/1" until 2 have crashed
-      And the store forgets all crashes
+      And all crash records are removed from the store
       And another router starts that the others know
       And it comes again to "/records/1" 3 times after 1 second
       Then it reaches at most 0 more upstreams
 
-    Scenario: A crash that some peer did not hear of is written to the store
-      # Symptom: a router that is cut off from the others, but not from the
-      #   store, lets a request through that two others block.
-      # Sequence: each of two routers sees one crash; a third one does not
-      #   answer them.
-      # Cause: one crash alone is told to peers, and not worth a write.
+    Scenario: A crash that some peer did not receive is saved to the store
+      # Guards against a router that admits a request that two others block,
+      # because it can reach the store but not its peers. Each of the two
+      # detects one crash, and the third one does not answer them. A single
+      # crash is otherwise sent only to peers and not written to the store.
       Given a store with a configuration
       And a public path "/open/" of "registry" with one attempt
       And 5 upstreams of "registry" that come back after a crash
       And routers that call each other
       And 2 direct routers
-      And a router in the store that answers nobody
+      And a registered router that does not respond
       And each router knows the 2 others
       When callers send what crashes them to "/open/1" until 1 has crashed
-      Then 1 crash is written within 2 seconds
+      Then 1 crash record is saved within 2 seconds
 
-    Scenario: A crash that all have heard of is not written
+    Scenario: A crash that all peers received is not saved to the store
       Given a store with a configuration
       And a public path "/open/" of "registry" with one attempt
       And 5 upstreams of "registry" that come back after a crash
@@ -166,51 +159,49 @@
       And 2 direct routers
       And each router knows the 1 other
       When callers send what crashes them to "/open/1" until 1 has crashed
-      Then no crash is written within 1 second
+      Then no crash record is saved within 1 second
 
-    Scenario: Entries that somebody else wrote hide none
+    Scenario: Invalid records in the store do not hide valid ones
       Given a store with a configuration
       And 5 upstreams of "registry" that come back after a crash
       And 2 direct routers
-      When others write crashes that can't be read
+      When another client writes invalid crash records
       And callers send what crashes them to "/records/1" until 2 have crashed
       And it comes again to "/records/1" 4 times after 0 seconds
       Then it reaches at most 0 more upstreams
 
-    Scenario: A stop ends a call whose connection is lost meanwhile
-      # Symptom: a router that was told to stop logs "Stopped." and goes on
-      #   to exist; it is not started again, and serves nobody.
-      # Sequence: it is cancelled while it calls a peer, and that connection
-      #   ends at the same moment, as when several routers stop together.
-      # Cause: the call reported the lost connection as its result, and the
-      #   cancellation with it was gone: the loop around it went on for ever.
+    Scenario: Cancelling a call whose connection is lost takes effect
+      # Guards against a stopped router whose process does not exit: it logs
+      # "Stopped.", serves no requests and is not restarted. It was cancelled
+      # while it called a peer, and that connection closed at the same moment,
+      # as when several routers stop together. The call returned the lost
+      # connection as its result and swallowed the cancellation, so the loop
+      # around it never ended.
       When a call to a peer is cancelled as its connection is lost
       Then the call ends cancelled
 
-    Scenario: A call whose connection is lost does not end its caller
-      # Symptom: a router hears nothing of others any more, and tells them
-      #   nothing, until it is started again; its log says nothing.
-      # Sequence: a peer is killed, or cut off, while it is called.
-      # Cause: the library wakes up whoever waits on a lost connection by
-      #   cancelling its task, which was taken for a stop of the router.
+    Scenario: A call whose connection is lost does not cancel its caller
+      # Guards against a router that stops exchanging records, without a log
+      # line, until it is restarted. A peer is killed or partitioned during a
+      # call. The library cancels the task that waits on the lost connection,
+      # which was handled as a shutdown of the router.
       When the connection of a call to a peer is lost
-      Then the call is answered as one without a reply
+      Then the call is not cancelled
 
-    Scenario: A call that is late ends no other call to the same peer
-      # Symptom: a large document never arrives over a link that it fills.
-      # Sequence: while it is under way, the short exchanges with the same
-      #   peer come late.
-      # Cause: a late call closed the connection that all calls share.
-      When two calls to a peer are under way and the first is late
-      Then the second is answered
+    Scenario: A call that times out ends no other call to the same peer
+      # Guards against a large document that never arrives over a link that
+      # it saturates. Short exchanges with the same peer time out meanwhile,
+      # and a timeout closed the connection that all calls share.
+      When two calls to a peer are in progress and the first times out
+      Then the second call is answered
 
-  Rule: Who merely ran beside a crash is not shut out
+  Rule: Requests that only ran during a crash are not blocked
 
     Scenario Outline: One request explains the crashes of others
-      # Each word before a semicolon is a request that ran at one crash, with
-      # + after an event. Whatever the order in which routers hear of them,
-      # they block the same.
-      When routers hear of the crashes "<crashes>" in any order
+      # Semicolons separate crashes; each word is a request that ran at that
+      # crash, with + if it had returned an event. The result must not depend
+      # on the order in which routers receive the crashes.
+      When routers receive the crashes "<crashes>" in any order
       Then they block "<blocked>"
 
       Examples: enough
@@ -229,17 +220,17 @@
         | a+ b; a+ c+ |      |
         | a b; b c; c |      |
 
-    Scenario: A request that is answered has crashed nothing before
-      When routers hear of the crashes "a b; a c; a d" in any order
-      And "a" is answered at one of them, and told to the others
+    Scenario: A request that completes caused none of the earlier crashes
+      When routers receive the crashes "a b; a c; a d" in any order
+      And "a" completes at one of them, which informs the others
       Then they block ""
 
-    Scenario Outline: One crash breaks off the runs of many connections
-      # A cut link ends connections like a crash does, and nothing has
-      # started again after it.
+    Scenario Outline: One crash breaks the runs of many connections
+      # A network partition closes connections as a crash does, but without
+      # a restart of the upstream.
       When an upstream that <listens> crashes under "a" at 1000
-      And a run of "a" on a connection opened at <opened> is broken off there
-      Then "a" is held to have run at <crashes>
+      And a run of "a" there breaks on a connection opened at <opened>
+      Then "a" is recorded as running at <crashes>
 
       Examples:
         | listens          | opened | crashes   |
@@ -248,14 +239,14 @@
         | can't be reached | 1001   | 1 crash   |
 
     Scenario: A crash counts for ten minutes
-      When routers hear of the crashes "a; a; a" in any order
+      When routers receive the crashes "a; a; a" in any order
       And 601 seconds pass
       Then they block ""
 
     Scenario Outline: Blocks for the same crashes are ambiguous
       # Guards against refusing a harmless request for ten minutes because it
       # ran at the same crashes as the one that caused them.
-      When routers hear of the crashes "<crashes>" in any order
+      When routers receive the crashes "<crashes>" in any order
       Then the blocks of "<ambiguous>" are ambiguous
 
       Examples:
@@ -274,7 +265,7 @@
     Scenario Outline: The retry delay of a recent or ambiguous block is short
       # Guards against a retry delay of minutes before other routers have
       # reported which requests ran at the same crashes.
-      When routers hear of the crashes "<crashes>" in any order
+      When routers receive the crashes "<crashes>" in any order
       And <seconds> seconds pass
       Then "a" may be retried after <least> to <most> seconds
 
@@ -296,9 +287,10 @@
       And it is served by all routers within 10 seconds
       And the crashing request reaches at most 3 more upstreams in 12 seconds
 
-    Scenario: On the model others are let through
-      # Load pattern: a caller repeats what crashes engines, 37 others a
-      # second run beside it, and one in five of these asks what others ask.
-      When one caller of the model crashes engines in 10 plays
-      Then at most 3 engines crash in a play, in the mean
-      And none of the others is shut out
+    Scenario: No other request is blocked in the simulation
+      # Load pattern: one caller repeats a crash-causing request, 37 other
+      # requests per second run concurrently, and one in five of these is the
+      # same as another one.
+      When one caller crashes engines in 10 simulations
+      Then at most 3 engines crash per simulation on average
+      And no other request is blocked
--- a/features/steps/block_probes_steps.py
+++ b/features/steps/block_probes_steps.py
@@ -20,8 +20,8 @@
 from support.direct_bench import HOST
 from support.direct_bench import KEY
 
-CRASHES = b'what crashes upstreams'
-HARMLESS = b'what crashes nothing'
+CRASHING_BODY = b'what crashes upstreams'
+HARMLESS_BODY = b'what crashes nothing'
 PATH = '/records/1'
 TEAM = 'north'
 STORED_KIND = 'lacewing-crashes'
@@ -49,11 +49,12 @@
     """Write the crashes to the store as another router does."""
     bench = direct_bench(context)
     suspects = tuple(
-        Suspect(_fingerprint(body), False) for body in (CRASHES, HARMLESS)
+        Suspect(_fingerprint(body), False)
+        for body in (CRASHING_BODY, HARMLESS_BODY)
     )
     for number in range(1, count + 1):
-        start = UpstreamIncarnation(f'up-{number}', PROCESS_START_MS - 1)
-        text = msgspec.json.encode(CrashRecord(start, suspects)).decode()
+        incarnation = UpstreamIncarnation(f'up-{number}', PROCESS_START_MS - 1)
+        text = msgspec.json.encode(CrashRecord(incarnation, suspects)).decode()
         name = f'up-{number}.{PROCESS_START_MS - 1}.0.router-9'
         put = partial(bench.store.put, STORED_KIND, name, {'text': text})
         bench.on_loop(put)
@@ -66,10 +67,10 @@
     for router in bench.routers:
         guard = router._fleet.crash_guard
         bench.until(
-            partial(guard.is_blocked, _fingerprint(HARMLESS)),
+            partial(guard.is_blocked, _fingerprint(HARMLESS_BODY)),
             'a blocked request',
         )
-    assert _ask(bench, 0, HARMLESS).status == 503, bench.answer
+    assert _ask(bench, 0, HARMLESS_BODY).status == 503, bench.answer
     retry_s = float(bench.answer.headers['Retry-After'])
     assert 0 < retry_s <= MAX_RETRY_S, retry_s
 
@@ -80,7 +81,7 @@
     bench = direct_bench(context)
     end_s = time.monotonic() + limit_s
     for at in range(len(bench.routers)):
-        while _ask(bench, at, HARMLESS).status != 200:
+        while _ask(bench, at, HARMLESS_BODY).status != 200:
             assert time.monotonic() < end_s, bench.answer
             time.sleep(POLL_INTERVAL_S)
 
@@ -95,7 +96,9 @@
     end_s = time.monotonic() + duration_s
     while time.monotonic() < end_s:
         for at in range(len(bench.routers)):
-            _ask(bench, at, CRASHES)
+            _ask(bench, at, CRASHING_BODY)
         time.sleep(POLL_INTERVAL_S)
-    crashed = sum(upstream.crashes for upstream in bench.upstreams.values())
-    assert crashed <= count, f'{crashed} upstreams crashed'
+    crash_count = sum(
+        upstream.crashes for upstream in bench.upstreams.values()
+    )
+    assert crash_count <= count, f'{crash_count} upstreams crashed'
--- a/features/steps/crash_ledger_steps.py
+++ b/features/steps/crash_ledger_steps.py
@@ -1,4 +1,4 @@
-"""Check which requests are held to have crashed upstreams."""
+"""Check to which requests crashes are attributed."""
 
 from itertools import permutations
 from random import Random
@@ -15,101 +15,100 @@
 from lacewing_daemon.direct.crashes import UpstreamIncarnation
 from lacewing_daemon.direct.crashes._probes import ProbeSchedule
 
-BEGUN = '+'
-UP = UpstreamIncarnation('up', 7)
+BEGUN_SUFFIX = '+'
+INCARNATION = UpstreamIncarnation('up', 7)
 
 
-@when('routers hear of the crashes "{text}" in any order')
-def step_hear(context: Context, text: str) -> None:
-    """Tell them to one router for each order."""
+@when('routers receive the crashes "{text}" in any order')
+def step_receive(context: Context, text: str) -> None:
+    """Merge the records in each order, in one registry per order."""
     context.now_s = 1000.0
-    context.ledgers = []
+    context.registries = []
     for records in permutations(_records(text)):
-        ledger = CrashRegistry(clock=lambda: float(context.now_s))
+        registry = CrashRegistry(clock=lambda: float(context.now_s))
         for record in records:
-            ledger.merge(record)
-        context.ledgers.append(ledger)
+            registry.merge(record)
+        context.registries.append(registry)
 
 
-@when('"{name}" is answered at one of them, and told to the others')
-def step_answered(context: Context, name: str) -> None:
-    """Clear it at the first, and pass on what there is to tell."""
-    news = context.ledgers[0].exonerate(name)
-    for ledger in context.ledgers[1:]:
-        for record in news:
-            ledger.merge(record)
+@when('"{name}" completes at one of them, which informs the others')
+def step_completed(context: Context, name: str) -> None:
+    """Exonerate it at the first registry; merge the updates at the others."""
+    updates = context.registries[0].exonerate(name)
+    for registry in context.registries[1:]:
+        for record in updates:
+            registry.merge(record)
 
 
 @when('an upstream that {state} crashes under "{name}" at {now:d}')
 def step_crash(context: Context, state: str, name: str, now: int) -> None:
-    """Tell one router of it."""
+    """Merge the crash in one registry."""
     context.now_s = float(now)
-    context.ledger = CrashRegistry(clock=lambda: float(context.now_s))
+    context.registry = CrashRegistry(clock=lambda: float(context.now_s))
     gone = state == 'listens no more'
-    record = CrashRecord(UP, (Suspect(name, False),), gone=gone)
-    context.ledger.merge(record)
+    record = CrashRecord(INCARNATION, (Suspect(name, False),), gone=gone)
+    context.registry.merge(record)
 
 
-@when(
-    'a run of "{name}" on a connection opened at {opened:d} is broken off '
-    'there'
-)
+@when('a run of "{name}" there breaks on a connection opened at {opened:d}')
 def step_broken(context: Context, name: str, opened: int) -> None:
-    """Let the same router see it, with no later start of the upstream."""
-    start = context.ledger.incarnation_of(UP, float(opened))
-    context.ledger.merge(CrashRecord(start, (Suspect(name, False),)))
+    """Merge it in the same registry; no later incarnation is known."""
+    incarnation = context.registry.incarnation_of(INCARNATION, float(opened))
+    context.registry.merge(CrashRecord(incarnation, (Suspect(name, False),)))
 
 
-@then('"{name}" is held to have run at {count:d} crash')
-@then('"{name}" is held to have run at {count:d} crashes')
-def step_held(context: Context, name: str, count: int) -> None:
-    """Count them."""
-    crashes = context.ledger.crash_count(name)
+@then('"{name}" is recorded as running at {count:d} crash')
+@then('"{name}" is recorded as running at {count:d} crashes')
+def step_recorded(context: Context, name: str, count: int) -> None:
+    """Compare the number of crashes."""
+    crashes = context.registry.crash_count(name)
     assert crashes == count, f'expected {count}, got {crashes}'
 
 
 @when('{seconds:d} seconds pass')
 def step_pass(context: Context, seconds: int) -> None:
-    """Let time pass for all of them."""
+    """Advance the clock of all registries."""
     context.now_s += seconds
-    for ledger in context.ledgers:
-        ledger.expire()
+    for registry in context.registries:
+        registry.expire()
 
 
 @then('they block "{names}"')
 def step_block(context: Context, names: str) -> None:
-    """Compare what each of them blocks."""
-    for ledger in context.ledgers:
-        assert ledger.blocked == frozenset(names.split()), ledger.blocked
+    """Compare the blocked requests of each registry."""
+    for registry in context.registries:
+        assert registry.blocked == frozenset(names.split()), registry.blocked
 
 
 @then('they block ""')
 def step_block_nothing(context: Context) -> None:
-    """Look that none blocks anything."""
+    """Check that no registry blocks a request."""
     step_block(context, '')
 
 
 @then('the blocks of "{names}" are ambiguous')
 def step_ambiguous(context: Context, names: str) -> None:
-    """Compare the ambiguous blocks of each router."""
-    for ledger in context.ledgers:
-        assert ledger.ambiguous == frozenset(names.split()), ledger.ambiguous
+    """Compare the ambiguous blocks of each registry."""
+    for registry in context.registries:
+        assert registry.ambiguous == frozenset(names.split()), (
+            registry.ambiguous
+        )
 
 
 @then('the blocks of "" are ambiguous')
 def step_none_ambiguous(context: Context) -> None:
-    """Check that no router has an ambiguous block."""
+    """Check that no registry has an ambiguous block."""
     step_ambiguous(context, '')
 
 
-@then('"{name}" may be retried after {least_s:d} to {most_s:d} seconds')
+@then('"{name}" may be retried after {min_s:d} to {max_s:d} seconds')
 def step_retry_after(
-    context: Context, name: str, least_s: int, most_s: int
+    context: Context, name: str, min_s: int, max_s: int
 ) -> None:
-    """Check the retry delay at each router."""
-    for ledger in context.ledgers:
-        retry_s = ledger.retry_after_s(name)
-        assert least_s <= retry_s <= most_s, retry_s
+    """Check the retry delay at each registry."""
+    for registry in context.registries:
+        retry_s = registry.retry_after_s(name)
+        assert min_s <= retry_s <= max_s, retry_s
 
 
 @when('the block of "{name}" stays ambiguous for {seconds:d} seconds')
@@ -125,10 +124,10 @@
             context.probes_s.append(now_s)
 
 
-@then('its first probe comes after {least_s:d} to {most_s:d} seconds')
-def step_first_probe(context: Context, least_s: int, most_s: int) -> None:
+@then('its first probe comes after {min_s:d} to {max_s:d} seconds')
+def step_first_probe(context: Context, min_s: int, max_s: int) -> None:
     """Check the time of the first probe."""
-    assert least_s <= context.probes_s[0] <= most_s + 0.1, context.probes_s
+    assert min_s <= context.probes_s[0] <= max_s + 0.1, context.probes_s
 
 
 @then('it is probed at most {count:d} times')
@@ -137,22 +136,22 @@
     assert len(context.probes_s) <= count, context.probes_s
 
 
-@when('one caller of the model crashes engines in {plays:d} plays')
-def step_plays(context: Context, plays: int) -> None:
-    """Play the load with seeds that are always the same."""
-    context.outcomes = [play(Load(), USED, seed) for seed in range(plays)]
+@when('one caller crashes engines in {runs:d} simulations')
+def step_simulations(context: Context, runs: int) -> None:
+    """Simulate the load with fixed seeds."""
+    context.outcomes = [play(Load(), USED, seed) for seed in range(runs)]
 
 
-@then('at most {count:d} engines crash in a play, in the mean')
-def step_mean(context: Context, count: int) -> None:
-    """Add the crashes up."""
+@then('at most {count:d} engines crash per simulation on average')
+def step_average(context: Context, count: int) -> None:
+    """Compare the crashes of all simulations."""
     crashes = sum(outcome.crashes for outcome in context.outcomes)
     assert crashes <= count * len(context.outcomes), context.outcomes
 
 
-@then('none of the others is shut out')
-def step_none(context: Context) -> None:
-    """Look at each play."""
+@then('no other request is blocked')
+def step_none_blocked(context: Context) -> None:
+    """Check each simulation."""
     for outcome in context.outcomes:
         assert outcome.shut_out == 0, context.outcomes
 
@@ -162,8 +161,8 @@
     for number, names in enumerate(text.split(';')):
         suspects = []
         for name in names.split():
-            begun = name.endswith(BEGUN)
-            suspects.append(Suspect(name.removesuffix(BEGUN), begun))
+            begun = name.endswith(BEGUN_SUFFIX)
+            suspects.append(Suspect(name.removesuffix(BEGUN_SUFFIX), begun))
         records.append(
             CrashRecord(UpstreamIncarnation('up', number), tuple(suspects))
         )
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -1,4 +1,4 @@
-"""Check that a request which crashes upstreams is blocked."""
+"""Check that requests that crash upstreams are blocked."""
 
 import asyncio
 import time
@@ -22,33 +22,33 @@
 from support.direct_bench import PROMPT
 from support.direct_bench import route
 
-CRASHES = b'what crashes upstreams'
-BACK_S = 0.4
+CRASHING_BODY = b'what crashes upstreams'
+RESTART_DELAY_S = 0.4
 PAUSE_S = 0.1
-# Ends a loop in which nothing crashes; those to upstreams that are just
-# starting again are refused.
-MOST_SENDS = 30
+# Bounds a loop in which nothing crashes, since requests to upstreams that are
+# restarting are refused.
+MAX_SENDS = 30
 STORED_KIND = 'lacewing-crashes'
 
 
 @given('{count:d} upstream of "{service}" that comes back after a crash')
 @given('{count:d} upstreams of "{service}" that come back after a crash')
 def step_upstreams(context: Context, count: int, service: str) -> None:
-    """Start upstreams; all of the service start again after each crash."""
+    """Start upstreams; all of the service restart after each crash."""
     bench = direct_bench(context)
     for number in range(1, count + 1):
         bench.add_upstream(f'up-{number}', service)
     for upstream in bench.upstreams.values():
         if upstream.service == service:
-            upstream.crash_bodies.add(CRASHES)
-            upstream.on_crash = _come_back(bench, upstream)
+            upstream.crash_bodies.add(CRASHING_BODY)
+            upstream.on_crash = _restart_on_crash(bench, upstream)
 
 
-def _come_back(
+def _restart_on_crash(
     bench: DirectBench, upstream: FakeUpstream
 ) -> Callable[[], None]:
-    async def start_again() -> None:
-        await asyncio.sleep(BACK_S)
+    async def restart() -> None:
+        await asyncio.sleep(RESTART_DELAY_S)
         upstream.start_new_incarnation()
         upstream.server.start(upstream.server.port)
         bench.store.put(
@@ -56,7 +56,7 @@
         )
 
     def on_crash() -> None:
-        asyncio.get_running_loop().create_task(start_again())
+        asyncio.get_running_loop().create_task(restart())
 
     return on_crash
 
@@ -71,37 +71,39 @@
 
 
 @given('routers that call each other')
-def step_call(context: Context) -> None:
-    """Let the routers of this scenario listen for each other."""
+def step_peer_calls(context: Context) -> None:
+    """Let the routers of this scenario listen for peers."""
     direct_bench(context).routers_call = True
 
 
-@given('another process listens at their ports for peers')
-def step_taken(context: Context) -> None:
-    """Take the ports for calls of routers before these start."""
+@given('another process listens on their peer ports')
+def step_ports_in_use(context: Context) -> None:
+    """Occupy the peer ports of the routers before they start."""
     direct_bench(context).peer_ports_taken = True
 
 
 @given('that process has ended')
-def step_goes(context: Context) -> None:
-    """Free the ports, and give the routers time to see it."""
+def step_ports_free(context: Context) -> None:
+    """Free the ports and wait until the routers have retried."""
     direct_bench(context).free_peer_ports()
     time.sleep(LISTEN_RETRY_S + PAUSE_S)
 
 
 @given('each router knows the {count:d} other')
 @given('each router knows the {count:d} others')
-def step_know(context: Context, count: int) -> None:
+def step_peers_known(context: Context, count: int) -> None:
     """Wait until routers have found each other in the store and listen."""
     bench = direct_bench(context)
     for router in bench.routers:
-        bench.until(partial(_knows, router, count), f'{count} other routers')
+        bench.until(
+            partial(_has_peers, router, count), f'{count} other routers'
+        )
     time.sleep(PEERS_START_DELAY_S + PAUSE_S)
 
 
-@given('a router in the store that answers nobody')
-def step_dead(context: Context) -> None:
-    """Write the entry of a router that is cut off from the others."""
+@given('a registered router that does not respond')
+def step_unresponsive(context: Context) -> None:
+    """Write the entry of a router that its peers cannot reach."""
     bench = direct_bench(context)
     value = {'text': f'{"0" * 32} 127.0.0.1:1'}
     bench.on_loop(
@@ -111,7 +113,7 @@
 
 @given('a public path "{path}" of "{service}" with one attempt')
 def step_public(context: Context, path: str, service: str) -> None:
-    """Add a route that needs no key, so no confirmation of keys either."""
+    """Add a route without keys, so that no keys have to be confirmed."""
     bench = direct_bench(context)
     added = route(path, 'idempotent', service, Public=True, MaxAttempts=1)
     bench.configure(Routes=[*bench.config['Routes'], added])
@@ -119,7 +121,7 @@
 
 @given('each upstream resets its next {count:d} requests')
 def step_resets(context: Context, count: int) -> None:
-    """Break answers off while going on to listen."""
+    """Reset connections while the upstreams continue to listen."""
     for upstream in direct_bench(context).upstreams.values():
         upstream.script.extend([Behaviour.RESET] * count)
 
@@ -135,16 +137,20 @@
     upstream and the count might never be reached.
     """
     bench = direct_bench(context)
-    asked = 0
-    while _crashes(bench) < count and not _all_routers_block(bench):
-        _send(bench, path, asked)
-        asked += 1
-        assert asked < MOST_SENDS, f'{asked} sent, {_crashes(bench)} crashed'
+    sent_count = 0
+    while _crash_count(bench) < count and not _all_routers_block(bench):
+        _send(bench, path, sent_count)
+        sent_count += 1
+        assert sent_count < MAX_SENDS, (
+            f'{sent_count} sent, {_crash_count(bench)} crashed'
+        )
         time.sleep(PAUSE_S)
-    crashed = _crashes(bench)
+    crash_count = _crash_count(bench)
     # A request may be blocked one crash before CRASHES_TO_BLOCK.
-    least = min(count, CRASHES_TO_BLOCK - 1)
-    assert crashed >= least, f'expected at least {least}, got {crashed}'
+    min_count = min(count, CRASHES_TO_BLOCK - 1)
+    assert crash_count >= min_count, (
+        f'expected at least {min_count}, got {crash_count}'
+    )
 
 
 def _all_routers_block(bench: DirectBench) -> bool:
@@ -154,26 +160,26 @@
             for router in bench.routers
         )
 
-    # Ledgers are not thread-safe; read them on the routers' event loop.
+    # Registries are not thread-safe; read them on the routers' event loop.
     return bool(bench.on_loop(all_block))
 
 
 @when('it comes again to "{path}" {count:d} time after {later_s:d} seconds')
 @when('it comes again to "{path}" {count:d} times after {later_s:d} second')
 @when('it comes again to "{path}" {count:d} times after {later_s:d} seconds')
-def step_again(context: Context, path: str, count: int, later_s: int) -> None:
-    """Send it to all routers in turn, each time to upstreams that live."""
+def step_repeat(context: Context, path: str, count: int, later_s: int) -> None:
+    """Send it to all routers in turn, each time after upstreams restarted."""
     bench = direct_bench(context)
     time.sleep(later_s)
-    context.reached = _reached(bench)
+    context.received_before = _received_count(bench)
     for number in range(count):
-        time.sleep(BACK_S + PAUSE_S)
+        time.sleep(RESTART_DELAY_S + PAUSE_S)
         _send(bench, path, number)
 
 
-@when('callers send what crashes nothing to "{path}" {count:d} times')
-def step_good(context: Context, path: str, count: int) -> None:
-    """Send another request to the first router."""
+@when('callers send a harmless request to "{path}" {count:d} times')
+def step_harmless(context: Context, path: str, count: int) -> None:
+    """Send a harmless request to the first router."""
     for _ in range(count):
         direct_bench(context).ask(path, method='POST', body=b'harmless')
         time.sleep(PAUSE_S)
@@ -181,14 +187,14 @@
 
 @when('the store has been busy for {seconds:d} seconds')
 def step_busy(context: Context, seconds: int) -> None:
-    """Let no call of the routers be under way that would still succeed."""
+    """Wait until no call of the routers that may still succeed is open."""
     direct_bench(context).store.mode = StoreMode.BUSY
     time.sleep(seconds)
 
 
 @when('all routers are replaced')
 def step_replaced(context: Context) -> None:
-    """End all of them at once and start as many others."""
+    """Close all routers and start the same number of new ones."""
     bench = direct_bench(context)
     count = len(bench.routers)
     for router in bench.routers:
@@ -199,32 +205,34 @@
     bench.until_ready()
 
 
-@when('the store forgets all crashes')
-def step_forgets(context: Context) -> None:
-    """Take them out of the store, so that peers alone know them."""
+@when('all crash records are removed from the store')
+def step_records_removed(context: Context) -> None:
+    """Remove the records, so that only peers have them."""
     bench = direct_bench(context)
-    bench.until(lambda: bool(_written(bench)), 'a crash in the store')
-    for name in _written(bench):
+    bench.until(
+        lambda: bool(_saved_names(bench)), 'a crash record in the store'
+    )
+    for name in _saved_names(bench):
         bench.on_loop(partial(bench.store.remove, STORED_KIND, name))
 
 
 @when('another router starts that the others know')
-def step_another(context: Context) -> None:
-    """Start a router that callers are sent to first."""
+def step_new_router(context: Context) -> None:
+    """Start a router and make it the first that requests are sent to."""
     bench = direct_bench(context)
-    others = len(bench.routers)
+    other_count = len(bench.routers)
     newest = bench.start_router('router-new')
     bench.until_ready()
     bench.until(
-        lambda: len(newest.peer_addresses) == others, 'its peers known'
+        lambda: len(newest.peer_addresses) == other_count, 'its peers known'
     )
     bench.routers.remove(newest)
     bench.routers.insert(0, newest)
 
 
-@when("others write crashes that can't be read")
-def step_foreign(context: Context) -> None:
-    """Write what no router would."""
+@when('another client writes invalid crash records')
+def step_invalid_records(context: Context) -> None:
+    """Write values that no router writes."""
     bench = direct_bench(context)
     for number, value in enumerate((7, {'text': 'none'}, {'text': '{}'})):
         name = f'odd-{number}'
@@ -233,31 +241,31 @@
 
 @then('it reaches at most {count:d} more upstreams')
 def step_reaches(context: Context, count: int) -> None:
-    """Count the sends that upstreams received."""
-    more = _reached(direct_bench(context)) - context.reached
-    assert more <= count, f'expected at most {count} more sends, got {more}'
+    """Count the requests that upstreams received."""
+    more = _received_count(direct_bench(context)) - context.received_before
+    assert more <= count, f'expected at most {count} more requests, got {more}'
 
 
-@when('{count:d} crashes are written within {seconds:d} seconds')
-@then('{count:d} crashes are written within {seconds:d} seconds')
-@then('{count:d} crash is written within {seconds:d} seconds')
-def step_written(context: Context, count: int, seconds: int) -> None:
-    """Look into the store until it is there."""
+@when('{count:d} crash records are saved within {seconds:d} seconds')
+@then('{count:d} crash records are saved within {seconds:d} seconds')
+@then('{count:d} crash record is saved within {seconds:d} seconds')
+def step_saved(context: Context, count: int, seconds: int) -> None:
+    """Poll the store until the records are there."""
     bench = direct_bench(context)
     end_s = time.monotonic() + seconds
-    while len(_written(bench)) < count and time.monotonic() < end_s:
+    while len(_saved_names(bench)) < count and time.monotonic() < end_s:
         time.sleep(PAUSE_S)
-    assert len(_written(bench)) == count, _written(bench)
+    assert len(_saved_names(bench)) == count, _saved_names(bench)
 
 
-@then('no crash is written within {seconds:d} second')
-def step_unwritten(context: Context, seconds: int) -> None:
-    """Look into the store after a while."""
+@then('no crash record is saved within {seconds:d} second')
+def step_not_saved(context: Context, seconds: int) -> None:
+    """Check the store after a while."""
     time.sleep(seconds)
-    assert not _written(direct_bench(context))
+    assert not _saved_names(direct_bench(context))
 
 
-def _knows(router: DirectRouter, count: int) -> bool:
+def _has_peers(router: DirectRouter, count: int) -> bool:
     return len(router.peer_addresses) == count
 
 
@@ -266,20 +274,20 @@
     headers = PROMPT if path.startswith(('/chat/', '/talk/')) else {}
     connection = bench.connect(at)
     try:
-        bench.ask_on(connection, path, KEY, 'POST', CRASHES, **headers)
+        bench.ask_on(connection, path, KEY, 'POST', CRASHING_BODY, **headers)
     finally:
         connection.close()
 
 
-def _crashes(bench: DirectBench) -> int:
+def _crash_count(bench: DirectBench) -> int:
     return sum(one.crashes for one in bench.upstreams.values())
 
 
-def _reached(bench: DirectBench) -> int:
-    return sum(one.body == CRASHES for one in bench.received())
+def _received_count(bench: DirectBench) -> int:
+    return sum(one.body == CRASHING_BODY for one in bench.received())
 
 
-def _written(bench: DirectBench) -> tuple[str, ...]:
+def _saved_names(bench: DirectBench) -> tuple[str, ...]:
     names: tuple[str, ...] = bench.on_loop(
         lambda: bench.store.names(STORED_KIND)
     )
--- a/features/steps/peer_calls_steps.py
+++ b/features/steps/peer_calls_steps.py
@@ -18,13 +18,13 @@
 from lacewing_platform_testing import free_ports
 
 TIMEOUT_S = 5.0
-UNDER_WAY_S = 0.1
+CALL_DURATION_S = 0.1
 
 
-async def _read_on(
+async def _read_without_reply(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Answer nothing."""
+    """Read without sending a reply."""
     while await reader.read(1024):
         continue
     writer.close()
@@ -32,30 +32,30 @@
 
 @when('a call to a peer is cancelled as its connection is lost')
 def step_cancelled(context: Context) -> None:
-    """Cancel it and end its connection in one turn of the loop."""
-    context.call_cancelled = asyncio.run(_cancelled())
+    """Cancel it and close its connection in one event loop iteration."""
+    context.call_cancelled = asyncio.run(_cancel_call())
 
 
 @when('the connection of a call to a peer is lost')
 def step_lost(context: Context) -> None:
-    """Let the peer end it once it has read some of the call."""
-    context.call_cancelled = asyncio.run(_lost())
+    """Let the peer reset it once it has read part of the call."""
+    context.call_cancelled = asyncio.run(_call_with_lost_connection())
 
 
-async def _break_off(
+async def _reset_connection(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Reset the connection a while after the first bytes."""
+    """Reset the connection after a delay from the first bytes."""
     await reader.read(1024)
-    await asyncio.sleep(UNDER_WAY_S)
+    await asyncio.sleep(CALL_DURATION_S)
     writer.transport.abort()
 
 
-async def _lost() -> bool:
-    server = await asyncio.start_server(_break_off, '127.0.0.1', 0)
+async def _call_with_lost_connection() -> bool:
+    server = await asyncio.start_server(_reset_connection, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     channels = PeerChannels(None)
-    call = asyncio.create_task(_tell(channels, port, TIMEOUT_S))
+    call = asyncio.create_task(_send_report(channels, port, TIMEOUT_S))
     await asyncio.wait((call,))
     channels.close()
     server.close()
@@ -63,34 +63,40 @@
 
 
 class _SlowPeer:
-    """Answer each call a while after it came."""
+    """Answer each call after a delay."""
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Map the method for grpclib."""
+        """Return the handlers by method, for grpclib."""
         handler = Handler(
-            self._take, Cardinality.UNARY_UNARY, CrashReport, CrashReportAck
+            self._on_report,
+            Cardinality.UNARY_UNARY,
+            CrashReport,
+            CrashReportAck,
         )
         return {TELL_METHOD: handler}
 
-    async def _take(self, stream: Stream[CrashReport, CrashReportAck]) -> None:
+    async def _on_report(
+        self, stream: Stream[CrashReport, CrashReportAck]
+    ) -> None:
         await stream.recv_message()
-        await asyncio.sleep(2 * UNDER_WAY_S)
+        await asyncio.sleep(2 * CALL_DURATION_S)
         await stream.send_message(CrashReportAck())
 
 
-@when('two calls to a peer are under way and the first is late')
-def step_late(context: Context) -> None:
-    """Give up one call while another goes on."""
-    context.answer = asyncio.run(_late())
+@when('two calls to a peer are in progress and the first times out')
+def step_timeout(context: Context) -> None:
+    """Let one call time out while another one continues."""
+    context.second_answer = asyncio.run(_calls_with_timeout())
 
 
-async def _late() -> object:
+async def _calls_with_timeout() -> object:
     server = Server([_SlowPeer()], codec=MsgpackCodec())
     port = free_ports()
     await server.start('127.0.0.1', port)
     channels = PeerChannels(None)
     answers = await asyncio.gather(
-        _tell(channels, port, UNDER_WAY_S), _tell(channels, port, TIMEOUT_S)
+        _send_report(channels, port, CALL_DURATION_S),
+        _send_report(channels, port, TIMEOUT_S),
     )
     channels.close()
     server.close()
@@ -99,26 +105,28 @@
     return answers[1]
 
 
-async def _tell(channels: PeerChannels, port: int, timeout_s: float) -> object:
+async def _send_report(
+    channels: PeerChannels, port: int, timeout_s: float
+) -> object:
     address = f'127.0.0.1:{port}'
-    told = CrashReport('', ())
+    report = CrashReport('', ())
     return await channels.call(
-        address, TELL_METHOD, told, CrashReportAck, timeout_s
+        address, TELL_METHOD, report, CrashReportAck, timeout_s
     )
 
 
-@then('the second is answered')
-def step_second(context: Context) -> None:
-    """Look that it came to its end."""
-    assert context.answer == CrashReportAck(), context.answer
+@then('the second call is answered')
+def step_second_answered(context: Context) -> None:
+    """Check that it was answered."""
+    assert context.second_answer == CrashReportAck(), context.second_answer
 
 
-async def _cancelled() -> bool:
-    server = await asyncio.start_server(_read_on, '127.0.0.1', 0)
+async def _cancel_call() -> bool:
+    server = await asyncio.start_server(_read_without_reply, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     channels = PeerChannels(None)
-    call = asyncio.create_task(_tell(channels, port, TIMEOUT_S))
-    await asyncio.sleep(UNDER_WAY_S)
+    call = asyncio.create_task(_send_report(channels, port, TIMEOUT_S))
+    await asyncio.sleep(CALL_DURATION_S)
     call.cancel()
     channels.close()
     await asyncio.wait((call,))
@@ -127,12 +135,12 @@
 
 
 @then('the call ends cancelled')
-def step_ends(context: Context) -> None:
-    """Look how it ended."""
+def step_call_cancelled(context: Context) -> None:
+    """Check that its task was cancelled."""
     assert context.call_cancelled
 
 
-@then('the call is answered as one without a reply')
-def step_no_reply(context: Context) -> None:
-    """Look that whoever called goes on."""
+@then('the call is not cancelled')
+def step_call_not_cancelled(context: Context) -> None:
+    """Check that its task was not cancelled."""
     assert not context.call_cancelled
