--- a/features/steps/direct_starts_steps.py
+++ b/features/steps/direct_starts_steps.py
@@ -1,4 +1,4 @@
-"""Check what a router keeps of an upstream that starts again."""
+"""Check what a router keeps of an upstream that restarts."""
 
 import threading
 import time
@@ -21,19 +21,19 @@
 from support.direct_bench import sleep
 from tornado.httputil import HTTPHeaders
 
-# Routers gather changes of entries for 0.2 s.
-KNOWN_S = 0.5
-ASKED = 12
-MUTE_S = 0.22
+# Routers batch changes of entries for 0.2 s.
+PROPAGATION_S = 0.5
+REQUEST_COUNT = 12
+MIN_SILENCE_S = 0.22
 
 
-@when('the engines take no more orders and start again with older weights')
+@when('the engines ignore further orders and restart with older weights')
 def step_older_weights(context: Context) -> None:
-    """Start every engine again with the weights that it had at first."""
+    """Restart every engine with its initial weights."""
     bench = direct_bench(context)
     for name in bench.upstreams:
         bench.register(name)
-    bench.run(sleep(KNOWN_S))
+    bench.run(sleep(PROPAGATION_S))
     for name, upstream in bench.upstreams.items():
         upstream.ignores_orders = True
         upstream.weights[MODEL] = 1
@@ -41,125 +41,125 @@
 
 
 @then('soon prompts are answered with the older weights')
-def step_older_asked(context: Context) -> None:
-    """Ask until every engine was asked for the version it has."""
+def step_older_weights_used(context: Context) -> None:
+    """Send prompts until every engine was asked for its own version."""
     bench = direct_bench(context)
 
-    def all_asked() -> bool:
+    def all_sent_version() -> bool:
         bench.ask_model(**{PREFIX + 'Prompt-Prefix': f'{uuid4().hex}:300'})
-        asked = []
+        versions = []
         for upstream in bench.upstreams.values():
             if upstream.received:
                 headers = upstream.received[-1].headers
-                asked.append(headers[PREFIX + 'Expected-Version'])
-        return asked == ['1'] * len(bench.upstreams)
+                versions.append(headers[PREFIX + 'Expected-Version'])
+        return versions == ['1'] * len(bench.upstreams)
 
-    bench.until(all_asked, 'prompts for the older weights')
+    bench.until(all_sent_version, 'prompts for the older weights')
     assert bench.ask_model().status == 200, bench.answer
 
 
-@when('upstream "{name}" starts again')
-def step_start_again(context: Context, name: str) -> None:
-    """Start it anew under its id, and wait until that is known."""
-    context.started = direct_bench(context).start_again(name)
-    direct_bench(context).run(sleep(KNOWN_S))
+@when('upstream "{name}" restarts')
+def step_restart(context: Context, name: str) -> None:
+    """Restart it under its id and wait until routers have its entry."""
+    context.restarted = direct_bench(context).start_again(name)
+    direct_bench(context).run(sleep(PROPAGATION_S))
 
 
 @then('soon it receives requests again')
-def step_again(context: Context) -> None:
-    """Ask until it gets a request."""
+def step_receives_again(context: Context) -> None:
+    """Send requests until the upstream receives one."""
     bench = direct_bench(context)
-    before = len(context.started.received)
+    before = len(context.restarted.received)
 
     def received() -> bool:
         bench.ask()
-        return len(context.started.received) > before
+        return len(context.restarted.received) > before
 
-    bench.until(received, 'a request at the upstream that started again')
+    bench.until(received, 'a request at the restarted upstream')
 
 
-@when('the start before says that it is leaving')
-def step_late_word(context: Context) -> None:
-    """Write the entry of the start before, and wait until it is read."""
+@when('the previous incarnation reports that it is leaving')
+def step_late_leaving(context: Context) -> None:
+    """Write an entry of the previous incarnation; wait until it is read."""
     bench = direct_bench(context)
-    upstream = context.started
+    upstream = context.restarted
     entry = upstream.store_entry('draining')
     entry['born'] = upstream.born - 1
     name = upstream.upstream_id
     bench.on_loop(lambda: bench.store.put('servers', name, entry))
-    bench.run(sleep(KNOWN_S))
+    bench.run(sleep(PROPAGATION_S))
 
 
 @when(
-    '"{name}" starts again and the start before says that it has version'
+    '"{name}" restarts and its previous incarnation reports version'
     ' {version:d}'
 )
 def step_late_weights(context: Context, name: str, version: int) -> None:
-    """Write an entry of the start before, and wait until it is read."""
+    """Write an entry of the previous incarnation; wait until it is read."""
     bench = direct_bench(context)
     bench.start_again(name)
-    bench.run(sleep(KNOWN_S))
+    bench.run(sleep(PROPAGATION_S))
     upstream = bench.upstreams[name]
     entry = upstream.store_entry()
     assert upstream.born is not None
     entry['born'] = upstream.born - 1
     entry['Models'] = [{'Name': MODEL, 'Version': version, 'Adapters': []}]
     bench.on_loop(lambda: bench.store.put('servers', name, entry))
-    bench.run(sleep(KNOWN_S))
+    bench.run(sleep(PROPAGATION_S))
 
 
 @then('"{name}" is known with version {version:d}')
-def step_known_with(context: Context, name: str, version: int) -> None:
-    """Look at what the router knows."""
-    knowledge = direct_bench(context).routers[0]._fleet.cluster_state
-    state = knowledge.upstream(name)
+def step_known_version(context: Context, name: str, version: int) -> None:
+    """Check the version in the cluster state of the router."""
+    cluster_state = direct_bench(context).routers[0]._fleet.cluster_state
+    state = cluster_state.upstream(name)
     assert state is not None
     assert state.weights(MODEL) == version, state.weights(MODEL)
 
 
-@when('the upstreams start again at other addresses')
-def step_elsewhere(context: Context) -> None:
-    """Move them; the old connections stay open and say nothing."""
+@when('the upstreams restart at other addresses')
+def step_other_addresses(context: Context) -> None:
+    """Move them; the old connections stay open and silent."""
     bench = direct_bench(context)
     for name, upstream in list(bench.upstreams.items()):
         upstream.always = Behaviour.MUTE
         assert upstream.born is not None
         bench.add_upstream(name, upstream.service, upstream.born + 1000)
         context.resources.callback(bench.on_loop, upstream.server.close)
-    bench.run(sleep(KNOWN_S))
+    bench.run(sleep(PROPAGATION_S))
 
 
-@when('an upstream starts again while it runs a request for {path}')
-def step_under_way(context: Context, path: str) -> None:
-    """Start the upstream anew once it runs; then let all answer."""
+@when('an upstream restarts while it runs a request for {path}')
+def step_request_in_progress(context: Context, path: str) -> None:
+    """Restart the upstream once it runs; then let all upstreams answer."""
     bench = direct_bench(context)
     method = 'POST' if path.startswith('/certificates') else 'GET'
-    asking = threading.Thread(target=lambda: bench.ask(path, method=method))
-    asking.start()
+    caller = threading.Thread(target=lambda: bench.ask(path, method=method))
+    caller.start()
     bench.until(lambda: bool(bench.ran()), 'a run')
-    # Looked at once: the router may repeat the request at another one while
-    # the first starts again.
+    # Listed only once: the router may retry the request at another upstream
+    # while the first one restarts.
     running = [name for name, one in bench.upstreams.items() if one.ran]
     for name in running:
         bench.start_again(name)
     for upstream in bench.upstreams.values():
         bench.on_loop(upstream.hold.set)
-    asking.join()
+    caller.join()
 
 
 @then('the request gets {status:d} after {runs:d} runs')
 def step_runs(context: Context, status: int, runs: int) -> None:
-    """Count what was run."""
+    """Check the status and count the runs."""
     bench = direct_bench(context)
-    bench.run(sleep(KNOWN_S))
+    bench.run(sleep(PROPAGATION_S))
     assert bench.answer.status == status, bench.answer
     assert len(bench.ran()) == runs, bench.ran()
     assert len(set(bench.ran())) == 1, bench.ran()
 
 
 @when('another upstream answers at its address')
-def step_another(context: Context) -> None:
-    """Hand the head of its refusal to a request's send."""
+def step_other_upstream(context: Context) -> None:
+    """Pass the head of its refusal to the Send of a request."""
     head = PlatformWire().read_reply(
         421,
         HTTPHeaders(
@@ -171,44 +171,44 @@
         ),
     )
     fleet: Any = SimpleNamespace(
-        cluster_state=context.knowledge,
-        silence_detector=SilenceDetector(MUTE_S),
+        cluster_state=context.cluster_state,
+        silence_detector=SilenceDetector(MIN_SILENCE_S),
         crash_guard=None,
     )
     route = SimpleNamespace(is_streaming=True, can_retry=True)
     admitted: Any = SimpleNamespace(route=route)
     request: Any = SimpleNamespace(prompt=SimpleNamespace(model=MODEL))
-    nothing: Any = None
+    unused: Any = None
     send = Send(
         fleet,
         PlatformWire(),
-        nothing,
+        unused,
         request,
         admitted,
-        Target(context.before, 0.0),
+        Target(context.previous_state, 0.0),
         lambda _others: True,
         'a fingerprint',
     )
     send._learn(head)
 
 
-@then('it is left alone for a while and nothing is learnt of it')
-def step_left_alone(context: Context) -> None:
-    """Look whether it is used, and what is known of it."""
-    state = context.before
+@then('it is excluded for a while and its state is unchanged')
+def step_excluded(context: Context) -> None:
+    """Check whether it is usable, and its recorded state."""
+    state = context.previous_state
     now_s = time.monotonic()
     assert not state.is_usable(now_s + MOVED_UPSTREAM_PAUSE_S / 2)
     assert state.is_usable(now_s + MOVED_UPSTREAM_PAUSE_S)
     assert state.weights(MODEL) == 3
     assert state.other_requests(now_s) == 0
-    assert context.knowledge.current_release(MODEL).version == 3
+    assert context.cluster_state.current_release(MODEL).version == 3
 
 
-@then('it goes on receiving requests')
-def step_goes_on(context: Context) -> None:
-    """Ask several times; the longest unused upstream gets the next."""
+@then('it continues to receive requests')
+def step_still_receives(context: Context) -> None:
+    """Send several requests; each goes to the longest idle upstream."""
     bench = direct_bench(context)
-    before = len(context.started.received)
-    for _ in range(ASKED):
+    before = len(context.restarted.received)
+    for _ in range(REQUEST_COUNT):
         bench.ask()
-    assert len(context.started.received) > before
+    assert len(context.restarted.received) > before
--- a/features/steps/known_starts_steps.py
+++ b/features/steps/known_starts_steps.py
@@ -1,4 +1,4 @@
-"""Check what a router knows of each start of an upstream."""
+"""Check what a router knows of each incarnation of an upstream."""
 
 import asyncio
 from dataclasses import replace
@@ -30,94 +30,97 @@
 SERVICE = 'models'
 NOW_S = 100.0
 STARTED_MS = 1_700_000_000_000
-WALL = 'wall'
+CACHE_SALT = 'wall'
 PROMPT = Prompt(MODEL, 300, 20, 20, (PromptPart('aa', 300),))
 ENGINE = Engine(4, 10000, 1000.0, 1e9, (MODEL,), True)
-FIRST = Upstream(
+FIRST_ENTRY = Upstream(
     NAME, SERVICE, '127.0.0.1:1', 'east', 4, False, {MODEL: 3}, STARTED_MS
 )
 
 
 class _Control:
-    """Give one report and note orders; ``before`` comes first."""
+    """Return one report and record orders.
+
+    ``before_report`` is called before the report is returned.
+    """
 
     def __init__(self, report: UpstreamReport) -> None:
         self.report_given = report
         self.orders: list[LoadOrder] = []
-        self.before: Any = None
+        self.before_report: Any = None
 
     async def report(self, upstream: Upstream) -> UpstreamReport | None:
-        """Give the report."""
-        if self.before is not None:
-            self.before()
+        """Return the report."""
+        if self.before_report is not None:
+            self.before_report()
         return self.report_given
 
     async def load(self, upstream: Upstream, order: LoadOrder) -> OrderVerdict:
-        """Note an order."""
+        """Record an order."""
         self.orders.append(order)
         return OrderVerdict.ACCEPTED
 
 
 class _HeldLease:
-    """Stand for a lease that this process holds and acts under."""
+    """Fake a lease that this process holds and acts under."""
 
     is_acting = True
     fence = 5
 
     def record_action(self) -> None:
-        """Forget the act."""
+        """Do nothing."""
 
 
 def _state(context: Context) -> UpstreamState:
-    state: UpstreamState | None = context.knowledge.upstream(NAME)
+    state: UpstreamState | None = context.cluster_state.upstream(NAME)
     assert state is not None
     return state
 
 
-def _start_again(context: Context, version: int) -> None:
+def _restart(context: Context, version: int) -> None:
     entry = replace(
-        FIRST, weights={MODEL: version}, started_ms=STARTED_MS + 1000
+        FIRST_ENTRY, weights={MODEL: version}, started_ms=STARTED_MS + 1000
     )
-    context.knowledge.update_upstream(NAME, entry)
+    context.cluster_state.update_upstream(NAME, entry)
 
 
 @given('a router that knows an engine with weights of version 3')
 def step_knows(context: Context) -> None:
-    """Take the engine's first entry."""
-    context.knowledge = ClusterState(BOUNDS, LoadPolicy(), lambda: NOW_S)
-    context.knowledge.record_release(ReleasedWeights(MODEL, 3), False)
-    context.knowledge.update_upstream(NAME, FIRST)
-    context.before = _state(context)
+    """Apply the first entry of the engine."""
+    context.cluster_state = ClusterState(BOUNDS, LoadPolicy(), lambda: NOW_S)
+    context.cluster_state.record_release(ReleasedWeights(MODEL, 3), False)
+    context.cluster_state.update_upstream(NAME, FIRST_ENTRY)
+    context.previous_state = _state(context)
 
 
-@when('it was sent requests, was late, failed and told its load')
-def step_learnt(context: Context) -> None:
-    """Learn all that there is to learn."""
-    state = context.before
+@when('it received requests, was late, failed and reported its load')
+def step_state_recorded(context: Context) -> None:
+    """Record every kind of state of an upstream."""
+    state = context.previous_state
     context.ticket = state.open_request(50.0, 5, NOW_S)
     state.open_request(50.0, 5, NOW_S)
     state.open_copy(300)
-    state.record_parts(WALL, PROMPT, ENGINE, NOW_S)
+    state.record_parts(CACHE_SALT, PROMPT, ENGINE, NOW_S)
     state.record_lateness(200.0, NOW_S)
     state.update_load(UpstreamLoad(4, 7, 4), NOW_S)
     for _ in range(3):
         state.record_failure(NOW_S)
 
 
-@when('it starts again with weights of version {version:d}')
-def step_starts_again(context: Context, version: int) -> None:
-    """Take the entry of a later start."""
-    _start_again(context, version)
+@when('it restarts with weights of version {version:d}')
+def step_restarts(context: Context, version: int) -> None:
+    """Apply the entry of a later incarnation."""
+    _restart(context, version)
 
 
-@then('nothing is known of it but its new entry')
-def step_nothing(context: Context) -> None:
-    """Look at all that is known of an upstream."""
+@then('only its new entry is known')
+def step_only_new_entry(context: Context) -> None:
+    """Check every kind of state of the upstream."""
     state = _state(context)
-    assert state is not context.before
-    assert context.before.replaced
-    assert not context.before.is_usable(NOW_S + 60)
-    assert context.knowledge.upstreams_of(SERVICE) == [state]
+    assert state is not context.previous_state
+    assert context.previous_state.replaced
+    assert not context.previous_state.is_usable(NOW_S + 60)
+    assert context.cluster_state.upstreams_of(SERVICE) == [state]
     assert state.is_usable(NOW_S)
     assert state.weights(MODEL) == 2
     assert state.in_flight == 0
@@ -125,26 +128,28 @@
     assert state.copy_tokens == 0
     assert state.other_requests(NOW_S) == 0
     assert state.lateness_ms(NOW_S) == 0
-    assert not state.has_part(WALL, 'aa', NOW_S)
+    assert not state.has_part(CACHE_SALT, 'aa', NOW_S)
 
 
-@then('what the start before told later changes nothing')
-def step_told_later(context: Context) -> None:
-    """Learn of the state that ended."""
-    late = UpstreamReport(2, False, {MODEL: 9}, STARTED_MS)
-    assert not context.knowledge.apply_report(context.before, late)
-    assert not context.knowledge.apply_report(_state(context), late)
+@then('late reports of the previous incarnation change nothing')
+def step_late_reports(context: Context) -> None:
+    """Apply a report to the replaced and to the current state."""
+    late_report = UpstreamReport(2, False, {MODEL: 9}, STARTED_MS)
+    assert not context.cluster_state.apply_report(
+        context.previous_state, late_report
+    )
+    assert not context.cluster_state.apply_report(_state(context), late_report)
     assert _state(context).weights(MODEL) == 2
 
 
-@then('requests still open at the start before end without being counted')
+@then('requests that end at the previous incarnation are not counted')
 def step_old_end(context: Context) -> None:
-    """End one that was open before and one that was opened since."""
+    """End one request of the previous and one of the new incarnation."""
     state = _state(context)
     ticket = state.open_request(50.0, 5, NOW_S)
-    context.before.mark_started(context.ticket)
-    context.before.close_request()
-    context.before.close_copy(300)
+    context.previous_state.mark_started(context.ticket)
+    context.previous_state.close_request()
+    context.previous_state.close_copy(300)
     assert state.in_flight == 1
     assert state.waiting_count(9) == 1
     assert state.copy_tokens == 0
@@ -153,70 +158,74 @@
     assert state.in_flight == 0
 
 
-@when('it keeps the copy of a run and starts again')
+@when('it keeps a copy of a run and restarts')
 def step_copy(context: Context) -> None:
-    """Have a run copied there, and a later start."""
-    run = UpstreamState(replace(FIRST, upstream_id='eng-2'))
-    context.target = Target(run, 0.0, copy_to=context.before)
-    placer = Placer(context.knowledge, 'east')
+    """Copy a run to the engine; then apply a later incarnation."""
+    run = UpstreamState(replace(FIRST_ENTRY, upstream_id='eng-2'))
+    context.target = Target(run, 0.0, copy_to=context.previous_state)
+    placer = Placer(context.cluster_state, 'east')
     assert placer.continuation(context.target) is not None
-    _start_again(context, 3)
+    _restart(context, 3)
 
 
-@then("the run can't go on there")
-def step_not_on(context: Context) -> None:
-    """Look where the run would go on."""
-    placer = Placer(context.knowledge, 'east')
+@then('the run cannot continue there')
+def step_no_continuation(context: Context) -> None:
+    """Check where the run would continue."""
+    placer = Placer(context.cluster_state, 'east')
     assert placer.continuation(context.target) is None
 
 
 def _planner(context: Context, report: UpstreamReport) -> WeightsPlanner:
     context.control = _Control(report)
     lease: Any = _HeldLease()
-    return WeightsPlanner(context.knowledge, context.control, lease, 'me')
+    return WeightsPlanner(context.cluster_state, context.control, lease, 'me')
 
 
-def _order(context: Context, report: UpstreamReport, before: Any) -> None:
-    context.knowledge.record_release(ReleasedWeights(MODEL, 4), False)
+def _release_and_order(
+    context: Context, report: UpstreamReport, before_report: Any
+) -> None:
+    context.cluster_state.record_release(ReleasedWeights(MODEL, 4), False)
     context.planner = _planner(context, report)
-    context.control.before = before
-    asyncio.run(context.planner._load(context.before, MODEL, 4))
+    context.control.before_report = before_report
+    asyncio.run(context.planner._load(context.previous_state, MODEL, 4))
 
 
-@when('version 4 is named and ordered')
+@when('version 4 is released and ordered')
 def step_ordered(context: Context) -> None:
-    """Give the order, so that none is due."""
-    _order(context, UpstreamReport(0, False, {MODEL: 3}, STARTED_MS), None)
+    """Send the order, so that none is due."""
+    _release_and_order(
+        context, UpstreamReport(0, False, {MODEL: 3}, STARTED_MS), None
+    )
     assert len(context.control.orders) == 1
     assert not context.planner._due()
 
 
-@then('it is due to be ordered at once')
+@then('an order to it is due at once')
 def step_due(context: Context) -> None:
-    """Look what is due."""
+    """Check which orders are due."""
     due = [state for state, _ in context.planner._due()]
     assert due == [_state(context)], due
 
 
-@when("version 4 is named and the engine's report is of {start}")
-def step_other_report(context: Context, start: str) -> None:
-    """Order by a report of an earlier or a later start."""
-    later = start == 'a later one'
-    started_ms = STARTED_MS + (1000 if later else -1000)
+@when("version 4 is released and the engine's report is of {incarnation}")
+def step_other_report(context: Context, incarnation: str) -> None:
+    """Order by a report of an earlier or a later incarnation."""
+    is_later = incarnation == 'a later one'
+    started_ms = STARTED_MS + (1000 if is_later else -1000)
     report = UpstreamReport(0, False, {MODEL: 1}, started_ms)
-    _order(context, report, None)
+    _release_and_order(context, report, None)
 
 
-@when('version 4 is named and the engine starts again before its report')
-def step_meanwhile(context: Context) -> None:
-    """Take the entry of a later start while the report is awaited."""
+@when('version 4 is released and the engine restarts before its report')
+def step_restart_before_report(context: Context) -> None:
+    """Apply the entry of a later incarnation during the report call."""
     report = UpstreamReport(0, False, {MODEL: 3}, STARTED_MS)
-    _order(context, report, lambda: _start_again(context, 2))
+    _release_and_order(context, report, lambda: _restart(context, 2))
 
 
 @then('no order is given and its weights are those of version {version:d}')
 def step_no_order(context: Context, version: int) -> None:
-    """Look at the orders, and that the engine is due for one."""
+    """Check that no order was sent and that one is due."""
     assert not context.control.orders
     assert _state(context).weights(MODEL) == version
     step_due(context)
@@ -224,47 +233,53 @@
 
 @when('{what} comes')
 def step_entry(context: Context, what: str) -> None:
-    """Take an entry, after the engine's was removed where it says so."""
-    knowledge = context.knowledge
-    earlier = replace(FIRST, leaving=True, started_ms=STARTED_MS - 1)
+    """Apply an entry, after removing the known one where stated."""
+    cluster_state = context.cluster_state
+    earlier_entry = replace(
+        FIRST_ENTRY, leaving=True, started_ms=STARTED_MS - 1
+    )
     if what == 'an entry of another service':
-        knowledge.update_upstream(NAME, replace(FIRST, service='registry'))
+        cluster_state.update_upstream(
+            NAME, replace(FIRST_ENTRY, service='registry')
+        )
     if what.startswith('an entry with other weights'):
-        knowledge.update_upstream(NAME, replace(FIRST, weights={MODEL: 2}))
-    if what == 'an entry that tells no start':
-        knowledge.update_upstream(NAME, replace(FIRST, started_ms=0))
-    if what == 'an entry of an earlier start':
-        knowledge.update_upstream(NAME, earlier)
-    if what == 'an entry of an earlier start after it had gone':
-        knowledge.update_upstream(NAME, None)
-        knowledge.update_upstream(NAME, earlier)
-    if what.startswith('an entry of this start'):
-        knowledge.update_upstream(NAME, replace(FIRST, leaving=True))
-        knowledge.update_upstream(NAME, None)
-        knowledge.update_upstream(NAME, FIRST)
-
-
-@then('the engine {is_}')
-def step_is(context: Context, is_: str) -> None:
-    """Look at what is known of it now."""
-    knowledge = context.knowledge
-    if is_ == 'is not known':
-        assert knowledge.upstream(NAME) is None
-        assert knowledge.upstreams_of(SERVICE) == []
+        cluster_state.update_upstream(
+            NAME, replace(FIRST_ENTRY, weights={MODEL: 2})
+        )
+    if what == 'an entry without a start time':
+        cluster_state.update_upstream(NAME, replace(FIRST_ENTRY, started_ms=0))
+    if what == "an earlier incarnation's entry":
+        cluster_state.update_upstream(NAME, earlier_entry)
+    if what == "an earlier incarnation's entry after removal":
+        cluster_state.update_upstream(NAME, None)
+        cluster_state.update_upstream(NAME, earlier_entry)
+    if what.startswith('an entry of this incarnation'):
+        cluster_state.update_upstream(NAME, replace(FIRST_ENTRY, leaving=True))
+        cluster_state.update_upstream(NAME, None)
+        cluster_state.update_upstream(NAME, FIRST_ENTRY)
+
+
+@then('the engine {expected}')
+def step_engine_state(context: Context, expected: str) -> None:
+    """Check the current state of the engine."""
+    cluster_state = context.cluster_state
+    if expected == 'is unknown':
+        assert cluster_state.upstream(NAME) is None
+        assert cluster_state.upstreams_of(SERVICE) == []
         return
     state = _state(context)
-    if is_ == 'is as it was':
-        assert state.upstream == FIRST, state.upstream
+    if expected == 'is unchanged':
+        assert state.upstream == FIRST_ENTRY, state.upstream
         assert state.is_usable(NOW_S)
-    if is_ == 'is leaving':
+    if expected == 'is leaving':
         assert not state.is_usable(NOW_S)
-    if is_ == 'is due for 3':
+    if expected == 'is due for 3':
         assert state.weights(MODEL) == 2
         report = UpstreamReport(0, False, {MODEL: 2}, STARTED_MS)
         context.planner = _planner(context, report)
         step_due(context)
-    if is_ == 'is of that':
-        assert knowledge.upstreams_of(SERVICE) == []
-        assert knowledge.upstreams_of('registry') == [state]
-        knowledge.update_upstream(NAME, None)
-        assert knowledge.upstreams_of('registry') == []
+    if expected == 'is of that service':
+        assert cluster_state.upstreams_of(SERVICE) == []
+        assert cluster_state.upstreams_of('registry') == [state]
+        cluster_state.update_upstream(NAME, None)
+        assert cluster_state.upstreams_of('registry') == []
