--- a/features/steps/hostile_steps.py
+++ b/features/steps/hostile_steps.py
@@ -1,4 +1,4 @@
-"""Feed spoilt bytes, made from fixed seeds, to what reads them."""
+"""Pass corrupted data, generated from fixed seeds, to its parsers."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -33,8 +33,9 @@
 SEED = 11
 PREFIX = 'X-Lacewingstack-'
 BODY = b'whole body of an answer'
-# An attempt whose answer stalls ends after this; spoilt lengths do stall.
-WAIT_S = 0.05
+# An attempt ends after this if its response stalls, which a corrupted length
+# causes.
+TIMEOUT_S = 0.05
 LIMIT_S = 60.0
 _PAGE = {
     'items': [
@@ -48,11 +49,11 @@
 }
 
 
-@when('{count:d} streams of events are cut at random places')
-def step_cut(context: Context, count: int) -> None:
-    """Push each stream in pieces of random length."""
+@when('{count:d} event streams are split at random positions')
+def step_split(context: Context, count: int) -> None:
+    """Feed each stream in chunks of random length."""
     random = Random(SEED)
-    context.pairs = []
+    context.streams = []
     for _ in range(count):
         events = []
         for number in range(random.randrange(1, 12)):
@@ -60,61 +61,63 @@
             text = b'x' * random.randrange(40)
             events.append(b'id: %d\ndata: %s' % (number, text) + end)
         splitter = EventSplitter()
-        got = []
-        left = b''.join(events)
-        while left:
+        received_events = []
+        remaining = b''.join(events)
+        while remaining:
             length = random.randrange(1, 20)
-            got.extend(splitter.feed(left[:length]))
-            left = left[length:]
-        context.pairs.append((events, got, splitter.remainder))
-
-
-@then('each gives its events whole and in order')
-def step_whole(context: Context) -> None:
-    """Compare what went in and what came out."""
-    for events, got, rest in context.pairs:
-        assert got == events, (events, got)
-        assert rest == b'', rest
-        assert [event_id(event) for event in got] == list(range(len(got)))
-
-
-@when('{count:d} answers come that are spoilt at random places')
-def step_answers(context: Context, count: int) -> None:
-    """Send one request for each spoilt answer."""
-    context.ends = asyncio.run(_attempts(count))
+            received_events.extend(splitter.feed(remaining[:length]))
+            remaining = remaining[length:]
+        context.streams.append((events, received_events, splitter.remainder))
+
+
+@then('each returns its events complete and in order')
+def step_events_complete(context: Context) -> None:
+    """Compare the sent and the parsed events."""
+    for events, received_events, remainder in context.streams:
+        assert received_events == events, (events, received_events)
+        assert remainder == b'', remainder
+        assert [event_id(event) for event in received_events] == list(
+            range(len(received_events))
+        )
+
+
+@when('{count:d} responses are corrupted at random positions')
+def step_corrupt_responses(context: Context, count: int) -> None:
+    """Send one request for each corrupted response."""
+    context.attempt_ends = asyncio.run(_run_attempts(count))
     context.count = count
 
 
-async def _attempts(count: int) -> list[tuple[bytes, AttemptEnd]]:
+async def _run_attempts(count: int) -> list[tuple[bytes, AttemptEnd]]:
     random = Random(SEED)
-    answers: list[bytes] = []
+    responses: list[bytes] = []
 
     async def handle(received: ReceivedRequest) -> None:
         proof = {
             PREFIX + 'Request-Id': received.headers[PREFIX + 'Request-Id'],
             PREFIX + 'Response-Signature': 'signed',
         }
-        answers.append(_spoil(complete_response(200, proof, BODY), random))
-        await received.stream.write(answers[-1])
+        responses.append(_corrupt(complete_response(200, proof, BODY), random))
+        await received.stream.write(responses[-1])
         if random.random() < 0.5:
             received.stream.close()
 
     server = FakeServer(handle)
     server.start()
     pool = ConnectionPool()
-    ends = []
+    attempt_ends = []
     try:
         async with asyncio.timeout(LIMIT_S):
             for number in range(count):
-                end = await _attempt(server.address, pool, number)
-                ends.append((answers[-1], end))
+                end = await _run_attempt(server.address, pool, number)
+                attempt_ends.append((responses[-1], end))
     finally:
         pool.close()
         server.close()
-    return ends
+    return attempt_ends
 
 
-async def _attempt(
+async def _run_attempt(
     address: str, pool: ConnectionPool, number: int
 ) -> AttemptEnd:
     name = f'request-{number}'
@@ -134,69 +137,71 @@
     attempt = Attempt(request, PlatformWire(), lambda head: None, None)
     upstream = Upstream('up', 'a', address, 'east', 4, False, {})
     return await attempt.run(
-        pool, upstream, Dispatch('up', 1.0), False, WAIT_S, WAIT_S, 4
+        pool, upstream, Dispatch('up', 1.0), False, TIMEOUT_S, TIMEOUT_S, 4
     )
 
 
-def _spoil(data: bytes, random: Random) -> bytes:
-    """Change, drop, repeat or cut some bytes."""
-    spoilt = bytearray(data)
+def _corrupt(data: bytes, random: Random) -> bytes:
+    """Change, remove, repeat or truncate some bytes."""
+    corrupted = bytearray(data)
     for _ in range(random.randrange(1, 4)):
-        if not spoilt:
+        if not corrupted:
             break
-        place = random.randrange(len(spoilt))
-        how = random.randrange(4)
-        if how == 0:
-            spoilt[place] = random.randrange(256)
-        elif how == 1:
-            del spoilt[place]
-        elif how == 2:
-            spoilt[place:place] = spoilt[place : place + 9]
+        position = random.randrange(len(corrupted))
+        kind = random.randrange(4)
+        if kind == 0:
+            corrupted[position] = random.randrange(256)
+        elif kind == 1:
+            del corrupted[position]
+        elif kind == 2:
+            corrupted[position:position] = corrupted[position : position + 9]
         else:
-            del spoilt[max(1, place) :]
-    return bytes(spoilt)
+            del corrupted[max(1, position) :]
+    return bytes(corrupted)
 
 
-@then('a success is the whole body, or differs from it by what was spoilt')
+@then('a successful response differs from the body by corrupted bytes only')
 def step_success(context: Context) -> None:
-    """Check that nothing but bytes of the answer was taken for it."""
-    good = 0
-    for answer, end in context.ends:
+    """Check that accepted bodies contain only bytes of the response."""
+    success_count = 0
+    for response, end in context.attempt_ends:
         if end.verdict is not Verdict.RAN:
             continue
-        good += 1
+        success_count += 1
         assert end.complete and end.head is not None, end
         assert end.head.is_signed, end
-        assert end.body in answer, (answer, end)
-    assert 0 < good < context.count, good
+        assert end.body in response, (response, end)
+    assert 0 < success_count < context.count, success_count
 
 
-@then('no attempt is left without an end')
-def step_ends(context: Context) -> None:
-    """Count the ends."""
-    assert len(context.ends) == context.count, len(context.ends)
+@then('every attempt ends')
+def step_attempts_end(context: Context) -> None:
+    """Count the ended attempts."""
+    assert len(context.attempt_ends) == context.count, len(
+        context.attempt_ends
+    )
 
 
-@when('{count:d} answers of the store are spoilt at random places')
-def step_store(context: Context, count: int) -> None:
-    """Read, follow and write against each."""
-    context.got = asyncio.run(_store_answers(count))
+@when('{count:d} responses of the store are corrupted at random positions')
+def step_corrupt_store(context: Context, count: int) -> None:
+    """Read, watch and write against each corrupted response."""
+    context.results = asyncio.run(_call_store(count))
     context.count = count
 
 
-async def _store_answers(count: int) -> list[object]:
+async def _call_store(count: int) -> list[object]:
     random = Random(SEED)
     page = msgspec.json.encode(_PAGE)
 
     async def handle(received: ReceivedRequest) -> None:
         head = {'Content-Type': 'application/json'}
-        body = _spoil(page, random)
+        body = _corrupt(page, random)
         await received.stream.write(complete_response(200, head, body))
 
     server = FakeServer(handle)
     server.start()
     site = PlatformSite(server.address)
-    got: list[object] = []
+    results: list[object] = []
     calls: tuple[Callable[[], Awaitable[object]], ...] = (
         lambda: site.upstreams.read(),
         lambda: site.routing_configs.read(),
@@ -208,17 +213,17 @@
     try:
         async with asyncio.timeout(LIMIT_S):
             for number in range(count):
-                got.append(await calls[number % len(calls)]())
+                results.append(await calls[number % len(calls)]())
     finally:
         site.close()
         server.close()
-    return got
+    return results
 
 
-@then('each of them is a value or an error, and none ends the reader')
+@then('each of them yields a value or an error, and no reader ends')
 def step_values(context: Context) -> None:
-    """Check that the types are the agreed ones."""
-    known = (
+    """Check the types of the results."""
+    expected_types = (
         Listing,
         Changes,
         HistoryExpired,
@@ -226,9 +231,9 @@
         StoreError,
         tuple,
     )
-    assert len(context.got) == context.count
-    errors = 0
-    for one in context.got:
-        assert isinstance(one, known), one
-        errors += isinstance(one, StoreError)
-    assert 0 < errors < context.count, errors
+    assert len(context.results) == context.count
+    error_count = 0
+    for result in context.results:
+        assert isinstance(result, expected_types), result
+        error_count += isinstance(result, StoreError)
+    assert 0 < error_count < context.count, error_count
