--- a/packages/daemon/src/lacewing_daemon/direct/_change_age.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_change_age.py
@@ -1,57 +1,58 @@
-"""Know how long ago a change that is told may have been made."""
+"""Bound the age of a change that the store reports."""
 
 from collections.abc import Callable
 
-# By how much a look or an answer may be late on a busy VM.
+# How late a check or a response may be on a busy VM.
 LATENESS_TOLERANCE_S = 0.5
 
 
 class ChangeAge:
-    """Hold since when changes may have gone unheard.
+    """Hold the time since which changes may have gone unobserved.
 
-    One that was waited for has just been made, unless the process stood
-    still meanwhile or the answer was long on its way. One found in a list
+    A change that a call waited for has just been made, unless the process was
+    suspended meanwhile or the response was delayed. A change found in a list
     was made at some time since the last confirmation.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._unheard_from_s: float | None = float('-inf')
-        self._noted_s = float('-inf')
+        self._unobserved_since_s: float | None = float('-inf')
+        self._marked_s = float('-inf')
 
     @property
     def max_age_s(self) -> float:
-        """Return how long ago a change told now may have been made."""
-        if self._unheard_from_s is None:
+        """Return the maximum age of a change that is reported now."""
+        if self._unobserved_since_s is None:
             return 0.0
-        return self._clock() - self._unheard_from_s
+        return self._clock() - self._unobserved_since_s
 
     def mark_unobserved_since(self, at_s: float) -> None:
-        """Note from when on changes may have gone unheard."""
-        self._noted_s = self._clock()
-        if self._unheard_from_s is None:
-            self._unheard_from_s = at_s
+        """Record the time since which changes may be unobserved."""
+        self._marked_s = self._clock()
+        if self._unobserved_since_s is None:
+            self._unobserved_since_s = at_s
 
     def note_response(
         self, sent_s: float, wait_s: float, is_list: bool
     ) -> None:
-        """Note whether an answer was long on its way, or was waited for."""
+        """Record whether a response was delayed or was waited for."""
         took_s = self._clock() - sent_s
         if took_s > wait_s + LATENESS_TOLERANCE_S:
             self.mark_unobserved_since(sent_s)
             return
         if is_list or took_s <= LATENESS_TOLERANCE_S:
             return
-        # There was nothing to tell when it was asked for.
+        # The call waited, so no change was pending when it was sent.
         self.mark_observed(sent_s)
 
     def mark_observed(self, sent_s: float) -> None:
-        """Note that an answer to a call sent then was taken.
+        """Record that the response to a call sent then was applied.
 
-        An answer that was long on its way, or was read after a standstill,
-        tells what was so when it was sent. What the next one tells at once
-        was made since then; taken for just made, older weights were used
-        for too long. So only an answer that was asked for later ends it.
+        A response that was delayed, or was read after a suspension, shows the
+        state at the time it was sent. Changes that the next response returns
+        at once were made since then; counted as just made, they let
+        superseded weights be used for too long. So only the response to a
+        call sent after the mark clears it.
         """
-        if self._noted_s <= sent_s:
-            self._unheard_from_s = None
+        if self._marked_s <= sent_s:
+            self._unobserved_since_s = None
--- a/packages/daemon/src/lacewing_daemon/direct/_collection_watcher.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_collection_watcher.py
@@ -1,4 +1,4 @@
-"""Follow a collection of the platform's store and know how fresh it is."""
+"""Watch a collection of the platform's store and track its staleness."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,47 +37,47 @@
 
 BACKOFF_BASE_S = 0.1
 BACKOFF_CAP_S = 0.6
-# The part of the time for which entries are believed within which they are
-# confirmed anew; the rest is left to the way of calls to a slow store.
+# Entries are confirmed again within this fraction of the time for which they
+# count as current; the rest covers the latency of calls to a slow store.
 CONFIRM_FRACTION = 0.8
-# A call waits no shorter than this for the sake of a large answer that may
-# follow, as each call has its price; at most three a second.
-LEAST_WAIT_S = 0.3
-# How often it is looked, while a call waits, whether the process stood still
-# or the store has returned from a copy.
-BEAT_S = 0.5
-# What was lost with a copy is written again within about this time, as the
-# platform says of entries that lapsed.
-REWRITTEN_S = 2.0
-# While another collection is lost too and asks for the store, this one tries
-# only so often by itself: the other may be lost for a reason of its own.
-GUIDED_S = 1.5
-# After these faults the store is asked for changes again; any other may lie
-# in the answer, and would come back with it.
-_PASSING = (StoreFault.UNAVAILABLE, StoreFault.RATE_LIMITED)
+# The time reserved for a large response shortens the wait of a call no further
+# than this, because each call is priced: at most three calls a second.
+MIN_WAIT_S = 0.3
+# How often to check, while a call waits, whether the process was suspended or
+# the store was restored from an older snapshot.
+CHECK_INTERVAL_S = 0.5
+# Writers repeat writes lost by a restore within about this time; the platform
+# states it for entries that lapsed.
+REWRITE_TIMEOUT_S = 2.0
+# While the reconnect leader is disconnected too, this collection retries by
+# itself only this often: the leader may have failed for a reason of its own.
+LEADER_WAIT_S = 1.5
+# After these faults the next call asks for changes again. Any other fault may
+# be caused by the content of the response, and would occur again with it.
+_TRANSIENT_FAULTS = (StoreFault.UNAVAILABLE, StoreFault.RATE_LIMITED)
 
 _log = get_log(Part.PLATFORM)
 
 
 @dataclass(frozen=True)
 class ResponseStats:
-    """Hold how many bytes an answer had and in which time they came."""
+    """Hold the size of a response in bytes and its transfer time."""
 
     size: int
     took_s: float
 
 
 class CollectionWatcher(Generic[T]):
-    """Keep the entries of one collection up to date by a task.
+    """Keep the entries of one collection up to date in a task.
 
-    After a failed call, changes since a known revision are asked for, and
-    not the whole collection: on a narrow link reading it anew takes seconds,
-    fills the link and may fail again.
+    After a failed call, the watcher asks for the changes since a known
+    revision and not for the whole collection: on a narrow link a full read
+    takes seconds, saturates the link and may fail again.
 
-    ``reconnect_leader`` is another collection of the same store. While both
-    are lost, it alone looks for the store. Each trying by itself, three
-    collections made 38 calls in 4 s to a store that turns them away; with a
-    guide, 17.
+    ``reconnect_leader`` is the watcher of another collection of the same
+    store. While both are disconnected, only the leader retries. Retrying
+    independently, three collections made 38 calls in 4 s to a store that
+    refuses them; with a leader, 17.
     """
 
     def __init__(
@@ -99,20 +99,20 @@
         is_older: IsOlder[T] | None = None,
         restored_timeout_s: float = float('inf'),
     ) -> None:
-        self._guide = reconnect_leader
-        self._found = asyncio.Event()
+        self._reconnect_leader = reconnect_leader
+        self._reconnected = asyncio.Event()
         self._calls = calls or StoreCallCounter()
         self._eras = eras or StoreEras()
-        self._doubted_s = max_unconfirmed_s
+        self._max_unconfirmed_s = max_unconfirmed_s
         self._clock = clock
-        self._deaf_s = watch_gap_s
+        self._watch_gap_s = watch_gap_s
         self._strict = strict
         self._name = name
         self._collection = collection
         self._wait_s = wait_s
         self._backoff = Backoff(BACKOFF_BASE_S, BACKOFF_CAP_S, random)
-        self._gather_s = batch_delay_s
-        self._held: EntryCache[T] = EntryCache(
+        self._batch_delay_s = batch_delay_s
+        self._cache: EntryCache[T] = EntryCache(
             name,
             RestoredEntries(is_older or _never_older, restored_timeout_s),
             clock,
@@ -121,42 +121,42 @@
         )
         self._revision: int | None = None
         self._era: int | None = None
-        self._told = ObservedRevisions()
+        self._observed = ObservedRevisions()
         self._last_revision = 0
         self._confirmed_s: float | None = None
-        self._confirms_from_s = float('-inf')
+        self._confirmable_from_s = float('-inf')
         self._age = ChangeAge(clock)
-        self._lost = False
-        self._rewound = False
-        self._read = ResponseStats(0, 0.0)
-        self._last_took_s = 0.0
-        self._last_changed = False
+        self._disconnected = False
+        self._may_repeat_changes = False
+        self._last_response = ResponseStats(0, 0.0)
+        self._last_transfer_s = 0.0
+        self._last_had_changes = False
 
     @property
     def entries(self) -> Mapping[str, T]:
-        """Return the entries as far as they are known."""
-        return self._held.entries
+        """Return the known entries by name."""
+        return self._cache.entries
 
     @property
     def has_loaded(self) -> bool:
-        """Tell whether the collection has been read since the start."""
+        """Return whether the collection was read since the process start."""
         return self._confirmed_s is not None
 
     @property
     def revision(self) -> int:
-        """Return the store's revision that the entries are as of."""
+        """Return the store revision of the entries."""
         return self._last_revision
 
     @property
     def disconnected(self) -> bool:
-        """Tell whether the last call failed."""
-        return self._lost
+        """Return whether the last call failed."""
+        return self._disconnected
 
     @property
     def age_s(self) -> float:
-        """Return for how long the entries have not been confirmed.
+        """Return the time since the entries were last confirmed.
 
-        What changed after the last confirmation may be missing.
+        Changes made after the last confirmation may be missing.
         """
         if self._confirmed_s is None:
             return float('inf')
@@ -164,42 +164,42 @@
 
     @property
     def last_response(self) -> ResponseStats:
-        """Return what the last answer was, already as changes are told."""
-        return self._read
+        """Return the last response; set before the change callbacks run."""
+        return self._last_response
 
     @property
     def max_change_age_s(self) -> float:
-        """Return how long ago a change that is told now may have been made."""
+        """Return the maximum age of a change that is reported now."""
         return self._age.max_age_s
 
     def on_change(self, callback: OnChange[T]) -> None:
-        """Call back with the name and value (None: removed) of a change."""
-        self._held.on_change(callback)
+        """Register a callback for the name and value (None: removed)."""
+        self._cache.on_change(callback)
 
     async def run(self) -> None:
-        """Follow the collection until cancelled."""
+        """Watch the collection until cancelled."""
         while True:
-            await self._rest(await self.step())
+            await self._sleep(await self.step())
 
     async def step(self) -> float:
-        """Make one call; return the time until the next one, in seconds."""
-        self._held.accept_expired()
-        if self._era_passed:
+        """Make one call; return the delay until the next one in seconds."""
+        self._cache.accept_expired()
+        if self._is_era_outdated:
             self._revision = None
-        self._calls.count(self._name, self._reason())
+        self._calls.count(self._name, self._call_reason())
         wait_s = self._next_wait_s()
         sent_s = self._clock()
-        answer = await self._watched(wait_s)
-        self._last_changed = isinstance(answer, Changes) and bool(
+        answer = await self._call_store(wait_s)
+        self._last_had_changes = isinstance(answer, Changes) and bool(
             answer.changed
         )
         if answer is None:
             return 0.0
         self._eras.observe(answer.era)
         if isinstance(answer, StoreError):
-            self._failed(answer, sent_s)
+            self._handle_failure(answer, sent_s)
             return self._backoff.next_s()
-        if self._of_other_era(answer):
+        if self._is_from_other_era(answer):
             self._revision = None
             return self._backoff.next_s()
         self._backoff.reset()
@@ -209,22 +209,22 @@
                 collection=self._name,
                 reason=answer.message,
             )
-            self._age.mark_unobserved_since(self._clock() - self._deaf_s)
+            self._age.mark_unobserved_since(self._clock() - self._watch_gap_s)
             self._revision = None
             return 0.0
-        self._regained()
-        self._read = ResponseStats(answer.size, answer.took_s)
+        self._handle_success()
+        self._last_response = ResponseStats(answer.size, answer.took_s)
         self._age.note_response(sent_s, wait_s, isinstance(answer, Listing))
-        self._take(answer)
+        self._apply(answer)
         self._age.mark_observed(sent_s)
         self.confirm(answer, sent_s, wait_s)
         if isinstance(answer, Listing):
-            self._last_took_s = answer.took_s
+            self._last_transfer_s = answer.took_s
         elif answer.changed:
-            # Changes come in series; a call for each would cost several
-            # times the calls that waiting makes.
-            self._last_took_s = answer.took_s
-            return self._gather_s
+            # Changes come in series. A call for each change would cost
+            # several times as many calls as batching them does.
+            self._last_transfer_s = answer.took_s
+            return self._batch_delay_s
         return 0.0
 
     def confirm(
@@ -233,93 +233,99 @@
         sent_s: float,
         wait_s: float | None = None,
     ) -> None:
-        """Note as of when all changes are known.
-
-        A list holds all that was changed before it was asked for. A call
-        for changes that returns empty has watched until its end, and the
-        store told nothing meanwhile; it may have been deaf at the end.
-        Counting from the sending alone would take what is known for older
-        by the time that was waited, and refuse keys so much sooner. With
-        ``strict``, nothing is known while there is an unreadable entry: a
-        configuration that can't be read may take keys away. Nor is it while
-        the store, back from a copy, lacks what may not be written again yet.
+        """Record the time as of which all changes are known.
+
+        A list contains all changes made before it was requested. A call for
+        changes that returns empty has watched until its end and the store
+        reported nothing, but the watch may have missed changes in its last
+        ``watch_gap_s``. Counting from the request alone would overstate the
+        age by the time waited, and reject keys that much sooner. With
+        ``strict``, nothing is confirmed while an entry is unreadable, because
+        a configuration that can't be read may revoke keys. Nor is anything
+        confirmed right after a restore, while lost writes may not have been
+        repeated yet.
         """
-        if self._strict and self._unconfirmable:
+        if self._strict and self._has_untrusted_entries:
             return
-        if sent_s < self._confirms_from_s:
+        if sent_s < self._confirmable_from_s:
             return
         if wait_s is None:
             wait_s = self._wait_s
         confirmed_s = sent_s
         if isinstance(answer, Changes):
-            confirmed_s -= self._deaf_s
+            confirmed_s -= self._watch_gap_s
             if not answer.changed and not answer.unreadable:
-                # Not more than it can have watched: an answer may have been
-                # long on its way, or have come before its time.
+                # No more than the time it can have watched: a response may
+                # have been delayed, or have come before the wait was over.
                 confirmed_s += min(wait_s, self._clock() - sent_s)
         if self._confirmed_s is None or confirmed_s > self._confirmed_s:
             self._confirmed_s = confirmed_s
 
-    async def _rest(self, pause_s: float) -> None:
-        """Sleep, or until the guide has found the store again."""
-        guide = self._guide
-        if not self._lost or guide is None or not guide.disconnected:
+    async def _sleep(self, pause_s: float) -> None:
+        """Sleep, or wait until the reconnect leader has reconnected."""
+        leader = self._reconnect_leader
+        if not self._disconnected or leader is None or not leader.disconnected:
             await asyncio.sleep(pause_s)
             return
-        await guide.wait_reconnected(GUIDED_S + pause_s)
+        await leader.wait_reconnected(LEADER_WAIT_S + pause_s)
 
     async def wait_reconnected(self, timeout_s: float) -> None:
         """Wait until a call succeeds after one that failed."""
         try:
             async with asyncio.timeout(timeout_s):
-                await self._found.wait()
+                await self._reconnected.wait()
         except TimeoutError:
             return
 
     def _next_wait_s(self) -> float:
         """Return how long the next call waits for changes.
 
-        What is known grows older while a call waits and while its answer
-        arrives. An answer that fills the link for seconds, followed by
-        another one, would leave entries unconfirmed for too long although
-        the store answers; so there is room for two such answers, and none
-        for waiting when what is known is old already.
+        Entries grow stale while a call waits and while its response arrives.
+        A response that saturates the link for seconds, followed by another
+        one, would leave entries unconfirmed for too long although the store
+        responds. So the wait leaves time for two such responses, and is zero
+        when the entries are close to the limit.
         """
-        if self._lost:
+        if self._disconnected:
             return 0.0
-        unwritten_s = self._confirms_from_s - self._clock()
-        if unwritten_s > 0:
-            return min(self._wait_s, unwritten_s)
-        if self._strict and self._unconfirmable:
-            # No answer makes it fresher before the entry changes; calls
-            # that don't wait would only load the store.
+        rewrite_left_s = self._confirmable_from_s - self._clock()
+        if rewrite_left_s > 0:
+            return min(self._wait_s, rewrite_left_s)
+        if self._strict and self._has_untrusted_entries:
+            # No response can confirm the entries before the untrusted one
+            # changes; calls that don't wait would only load the store.
             return self._wait_s
-        if self._confirmed_s is None or self._doubted_s == float('inf'):
+        if self._confirmed_s is None or self._max_unconfirmed_s == float(
+            'inf'
+        ):
             return self._wait_s
         age_s = self.age_s
-        room_s = self._doubted_s - age_s - self._gather_s
-        room_s -= 2 * self._last_took_s
-        fresh_s = self._doubted_s * CONFIRM_FRACTION - age_s
-        return max(0.0, min(self._wait_s, max(room_s, LEAST_WAIT_S), fresh_s))
+        available_s = self._max_unconfirmed_s - age_s - self._batch_delay_s
+        available_s -= 2 * self._last_transfer_s
+        until_confirm_s = self._max_unconfirmed_s * CONFIRM_FRACTION - age_s
+        return max(
+            0.0,
+            min(self._wait_s, max(available_s, MIN_WAIT_S), until_confirm_s),
+        )
 
     @property
-    def _unconfirmable(self) -> bool:
-        return self._held.any_unreadable or self._held.any_unverified
+    def _has_untrusted_entries(self) -> bool:
+        return self._cache.any_unreadable or self._cache.any_unverified
 
     @property
-    def _era_passed(self) -> bool:
-        """Tell whether the store began an era after what is known."""
+    def _is_era_outdated(self) -> bool:
+        """Return whether the store era is later than that of the entries."""
         if self._era is None:
             return False
         return self._eras.current not in (0, self._era)
 
-    def _of_other_era(
+    def _is_from_other_era(
         self, answer: Listing[T] | Changes[T] | HistoryExpired
     ) -> bool:
-        """Tell whether an answer can't be joined to what is known.
+        """Return whether a response can't be applied to the entries.
 
-        A list that was long on its way may be of an era that has ended, and
-        changes are told since a revision of one era only.
+        A delayed list may be from an era that has ended, and changes count
+        from a revision that is valid in one era only.
         """
         if not answer.era:
             return False
@@ -327,97 +333,104 @@
             return answer.era != self._era
         return answer.era < self._eras.current
 
-    def _reason(self) -> CallReason:
+    def _call_reason(self) -> CallReason:
         if self._revision is None:
             return CallReason.READ
-        if self._lost:
+        if self._disconnected:
             return CallReason.FAILURE
-        if self._last_changed:
+        if self._last_had_changes:
             return CallReason.CHANGE
         return CallReason.NO_CHANGE
 
-    async def _watched(
+    async def _call_store(
         self, wait_s: float
     ) -> Listing[T] | Changes[T] | HistoryExpired | StoreError | None:
-        """Make the next call; note if the process stood still meanwhile.
+        """Make the next call; record if the process was suspended meanwhile.
 
-        After a pause an answer that has waited is read as if it had just
-        come, and what it tells would count as just made. A call for changes
-        is given up (None) once the store has returned from a copy: what was
-        lost need not show in it.
+        After a suspension, a response that was queued looks as if it had just
+        arrived, and its changes would count as just made. A call for changes
+        is cancelled (None) once the store was restored from a snapshot: its
+        response need not show the lost writes.
         """
-        call = asyncio.ensure_future(self._next(wait_s))
+        call = asyncio.ensure_future(self._send_call(wait_s))
         try:
             while not call.done():
-                looked_s = self._clock()
-                await asyncio.wait((call,), timeout=BEAT_S)
-                if self._clock() - looked_s > BEAT_S + LATENESS_TOLERANCE_S:
-                    self._age.mark_unobserved_since(looked_s)
-                if self._revision is not None and self._era_passed:
+                checked_s = self._clock()
+                await asyncio.wait((call,), timeout=CHECK_INTERVAL_S)
+                if (
+                    self._clock() - checked_s
+                    > CHECK_INTERVAL_S + LATENESS_TOLERANCE_S
+                ):
+                    self._age.mark_unobserved_since(checked_s)
+                if self._revision is not None and self._is_era_outdated:
                     return call.result() if call.done() else None
         finally:
             call.cancel()
         return call.result()
 
-    async def _next(
+    async def _send_call(
         self, wait_s: float
     ) -> Listing[T] | Changes[T] | HistoryExpired | StoreError:
         if self._revision is None:
             return await self._collection.read()
         return await self._collection.changes(self._revision, wait_s)
 
-    def _take(self, answer: Listing[T] | Changes[T]) -> None:
+    def _apply(self, answer: Listing[T] | Changes[T]) -> None:
         self._revision = answer.revision
         self._last_revision = answer.revision
         if isinstance(answer, Changes):
-            self._told.observe(answer.revision, self._clock())
-            self._held.apply_changes(self._new(answer), answer.unreadable)
-            self._rewound = False
+            self._observed.observe(answer.revision, self._clock())
+            self._cache.apply_changes(
+                self._new_changes(answer), answer.unreadable
+            )
+            self._may_repeat_changes = False
             return
-        self._told.reset(answer.revision, self._clock())
+        self._observed.reset(answer.revision, self._clock())
         era = answer.era or self._eras.current
-        from_copy = self._era is not None and era != self._era
-        if from_copy:
-            self._begin_era()
+        restored = self._era is not None and era != self._era
+        if restored:
+            self._start_era()
         self._era = era
-        self._held.apply_snapshot(answer.entries, answer.unreadable, from_copy)
-        self._rewound = False
+        self._cache.apply_snapshot(answer.entries, answer.unreadable, restored)
+        self._may_repeat_changes = False
 
-    def _begin_era(self) -> None:
-        """Doubt what the store tells until what it lost is written again."""
-        self._held.note_reconnected()
+    def _start_era(self) -> None:
+        """Withhold confirmation until lost writes can have been repeated."""
+        self._cache.note_reconnected()
         if self._confirmed_s is not None:
             self._age.mark_unobserved_since(self._confirmed_s)
         if self._strict:
-            self._confirms_from_s = self._clock() + REWRITTEN_S
+            self._confirmable_from_s = self._clock() + REWRITE_TIMEOUT_S
 
-    def _new(self, answer: Changes[T]) -> Iterable[tuple[str, T | None]]:
-        """Return the changes to take, in their order.
+    def _new_changes(
+        self, answer: Changes[T]
+    ) -> Iterable[tuple[str, T | None]]:
+        """Return the changes to apply, in order.
 
-        After a failed call some are told again. An entry that changed and
-        was removed then would be added and, as its removal is believed late
-        after an outage, be used again though it is gone. Only what comes of
-        each entry counts.
+        After a failed call some changes are returned again. An entry that was
+        changed and then removed would be added again and, because removals
+        are delayed after an outage, be used although it is removed. So only
+        the last change of each entry is applied.
         """
-        if not self._rewound:
+        if not self._may_repeat_changes:
             return answer.changed
         return dict(answer.changed).items()
 
-    def _failed(self, error: StoreError, sent_s: float) -> None:
-        # A second answer that is cut in its middle may hold more changes
-        # than the whole collection is large.
-        again = self._lost and error.received > 0
+    def _handle_failure(self, error: StoreError, sent_s: float) -> None:
+        # A second truncated response may contain changes that are larger
+        # than the whole collection.
+        truncated_again = self._disconnected and error.received > 0
         self._revision = None
-        if error.fault in _PASSING and not again:
-            self._told.discard_unreliable(sent_s)
-            self._revision = self._told.last_reliable()
-            self._rewound = True
+        if error.fault in _TRANSIENT_FAULTS and not truncated_again:
+            self._observed.discard_unreliable(sent_s)
+            self._revision = self._observed.last_reliable()
+            self._may_repeat_changes = True
         if self._confirmed_s is not None:
             self._age.mark_unobserved_since(self._confirmed_s)
-        if self._lost:
+        if self._disconnected:
             return
-        self._lost = True
-        self._found.clear()
+        self._disconnected = True
+        self._reconnected.clear()
         _log.warning(
             'Lost a collection.',
             collection=self._name,
@@ -427,12 +440,12 @@
             revision=self.revision,
         )
 
-    def _regained(self) -> None:
-        if not self._lost:
+    def _handle_success(self) -> None:
+        if not self._disconnected:
             return
-        self._lost = False
-        self._found.set()
-        self._held.note_reconnected()
+        self._disconnected = False
+        self._reconnected.set()
+        self._cache.note_reconnected()
         _log.info(
             'Follows a collection again.',
             collection=self._name,
--- a/packages/daemon/src/lacewing_daemon/direct/_entry_order.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_entry_order.py
@@ -1,4 +1,4 @@
-"""Tell which of two values of an entry was written first."""
+"""Compare two values of an entry by the order of their writes."""
 
 from lacewing_daemon.direct._routing_config import RoutingConfig
 from lacewing_daemon.direct._upstream import ReleasedWeights
@@ -8,19 +8,20 @@
 def is_older_routing_config(
     value: RoutingConfig, known: RoutingConfig
 ) -> bool:
-    """Tell whether a configuration comes before the known one."""
+    """Return whether a configuration precedes the known one."""
     return value.version < known.version
 
 
 def is_older_release(value: ReleasedWeights, known: ReleasedWeights) -> bool:
-    """Tell whether a version was named before the known one."""
+    """Return whether a version was released before the known one."""
     return value.version < known.version
 
 
 def is_older_upstream(value: Upstream, known: Upstream) -> bool:
-    """Tell whether an upstream wrote an entry before the known one.
+    """Return whether an upstream wrote an entry before the known one.
 
-    It leaves only once, and its weights go back only by a late order.
+    An incarnation starts to leave only once, and its weights go back to an
+    earlier version only by a delayed order.
     """
     if value.started_ms != known.started_ms:
         return value.started_ms < known.started_ms
--- a/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
@@ -1,4 +1,4 @@
-"""Count calls to the store by what they ask and why they are made."""
+"""Count calls to the store by subject and reason."""
 
 import asyncio
 from collections import Counter
@@ -14,19 +14,19 @@
 from lacewing_daemon.direct._site import SystemObjects
 from lacewing_daemon.direct._store_eras import StoreEras
 
-# One line in so long tells where calls come from and stays out of the way
-# of the lines on requests, of which there are some a second.
-TELL_S = 10.0
+# One line in this interval shows where calls come from without crowding out
+# the log lines of requests, of which there are a few a second.
+LOG_INTERVAL_S = 10.0
 
 _log = get_log(Part.PLATFORM)
 
 
 class CallReason(Enum):
-    """Tell why the store is called.
+    """Name the reason of a call to the store.
 
-    NO_CHANGE and CHANGE: the call before waited for changes, and told none or
-    some. FAILURE: it failed. READ: a collection is read whole. PEEK: a read
-    that may be old, at a tenth of the price.
+    NO_CHANGE and CHANGE: the previous call waited for changes and returned
+    none or some. FAILURE: the previous call failed. READ: a whole collection
+    is read. PEEK: an eventually consistent read at a tenth of the price.
     """
 
     READ = 'read'
@@ -39,11 +39,11 @@
 
 
 class StoreCallCounter:
-    """Hold how many calls were made since they were last logged.
+    """Hold the number of calls since they were last logged.
 
-    Each call has its price, and all routers share what the store answers a
-    second. Without the reasons nobody can tell calls that follow changes
-    from calls that only wait, and which of them grow with the fleet.
+    Each call is priced, and all routers share the request rate of the store.
+    Without the reasons, calls that follow changes can't be told apart from
+    calls that only wait, nor which of them grow with the fleet.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
 
     @property
     def counts(self) -> Mapping[str, int]:
-        """Return the calls since the last line, by subject and reason."""
+        """Return the calls since the last log line, by subject and reason."""
         return self._counts
 
     def count(self, subject: str, reason: CallReason) -> None:
@@ -60,7 +60,7 @@
         self._counts[f'{subject}.{reason.value}'] += 1
 
     def log_counts(self) -> None:
-        """Log the counts and begin anew."""
+        """Log the counts and reset them."""
         if not self._counts:
             return
         _log.info(
@@ -69,14 +69,14 @@
         self._counts.clear()
 
     async def run(self) -> None:
-        """Log the counts from time to time until cancelled."""
+        """Log the counts periodically until cancelled."""
         while True:
-            await asyncio.sleep(TELL_S)
+            await asyncio.sleep(LOG_INTERVAL_S)
             self.log_counts()
 
 
 class InstrumentedObjects:
-    """Keep the system's own objects; count the calls and note the era."""
+    """Wrap the system objects; count calls and record the store era."""
 
     def __init__(
         self, objects: SystemObjects, calls: StoreCallCounter, eras: StoreEras
@@ -88,17 +88,17 @@
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
         """Read one object."""
         self._calls.count(kind, CallReason.GET)
-        return self._noted(await self._objects.get(kind, name))
+        return self._observe_era(await self._objects.get(kind, name))
 
     async def peek(self, kind: str, name: str) -> StoredObject | StoreError:
-        """Read one object cheaply; it may be seconds old."""
+        """Read one object eventually consistently, at a lower price."""
         self._calls.count(kind, CallReason.PEEK)
-        return self._noted(await self._objects.peek(kind, name))
+        return self._observe_era(await self._objects.peek(kind, name))
 
     async def peek_all(
         self, kind: str
     ) -> tuple[StoredObject, ...] | StoreError:
-        """Read all objects of a kind cheaply; they may be seconds old."""
+        """Read all objects of a kind; they may be seconds old."""
         self._calls.count(kind, CallReason.PEEK)
         answer = await self._objects.peek_all(kind)
         if isinstance(answer, StoreError):
@@ -114,7 +114,7 @@
         """Write an object if its version is ``expect``."""
         self._calls.count(kind, CallReason.WRITE)
         answer = await self._objects.put(kind, name, value, expect)
-        return self._noted(answer)
+        return self._observe_era(answer)
 
     async def delete(
         self, kind: str, name: str, expect: int
@@ -126,7 +126,7 @@
             self._eras.observe(answer.era)
         return answer
 
-    def _noted(
+    def _observe_era(
         self, answer: StoredObject | StoreError
     ) -> StoredObject | StoreError:
         self._eras.observe(answer.era)
--- a/packages/daemon/src/lacewing_daemon/direct/_store_eras.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_store_eras.py
@@ -1,4 +1,4 @@
-"""Know in which era the store is: it begins one when it loses changes."""
+"""Track the store era: the store starts a new one when it loses writes."""
 
 from collections.abc import Callable
 
@@ -11,12 +11,12 @@
 
 
 class StoreEras:
-    """Hold the newest era that any answer of the store told.
+    """Hold the latest era that any response of the store reported.
 
-    A store that returns from an older copy has lost what was written since.
-    It gives the same revisions out again, so a revision means nothing in
-    another era than that in which it was read. All that follow the store
-    share this: an answer to one of them puts the others' revisions in doubt.
+    A store that was restored from an older snapshot has lost later writes and
+    assigns the same revisions again, so a revision is valid only in the era
+    in which it was read. All watchers of the store share this object: a
+    response to one of them invalidates the revisions of all.
     """
 
     def __init__(self) -> None:
@@ -25,24 +25,24 @@
 
     @property
     def current(self) -> int:
-        """Return the newest era, 0 while none is told."""
+        """Return the latest era, 0 before any is reported."""
         return self._current
 
     def on_restore(self, callback: Callable[[], None]) -> None:
-        """Call back when the store has returned from a copy."""
+        """Register a callback for a restore of the store."""
         self._callbacks.append(callback)
 
     def observe(self, era: int) -> None:
-        """Take the era that an answer told; 0 and older ones say nothing."""
+        """Record the era of a response; 0 and earlier eras are ignored."""
         if era <= self._current:
             return
-        before = self._current
+        previous = self._current
         self._current = era
         STORE_ERA.set(era)
-        if before == 0:
+        if previous == 0:
             return
         _log.warning(
-            'The store has returned from a copy.', era=era, before=before
+            'The store has returned from a copy.', era=era, before=previous
         )
         for callback in self._callbacks:
             callback()
--- a/packages/daemon/src/lacewing_daemon/direct/_upstream.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_upstream.py
@@ -6,12 +6,12 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """Hold one incarnation of an upstream: an id and the start it is of.
+    """Hold one incarnation of an upstream: its id and its start time.
 
-    ``leaving``: it takes no new work. ``weights`` maps each model to the
+    ``leaving``: it accepts no new work. ``weights`` maps each model to the
     version of its weights that the upstream last reported. ``started_ms``
-    is the Unix millisecond of the start, 0 where that is not told; an id is
-    then of one start only.
+    is the start time in Unix milliseconds, 0 if it is not reported; an id
+    then has one incarnation only.
     """
 
     upstream_id: str
@@ -25,17 +25,18 @@
 
     @property
     def endpoint(self) -> tuple[str, int, str]:
-        """Return what a connection leads to.
+        """Return the key of connections to this incarnation.
 
-        A connection to an earlier start is dead, or silent behind a cut;
-        a request that must not repeat would be lost on it.
+        A connection to an earlier incarnation is closed, or silent behind a
+        network partition; a request that must not be retried would be lost
+        on it.
         """
         return (self.upstream_id, self.started_ms, self.address)
 
 
 @dataclass(frozen=True)
 class ReleasedWeights:
-    """Hold the version of a model's weights that operators named last."""
+    """Hold the version of a model's weights that was released last."""
 
     model: str
     version: int
