--- a/features/direct_routers.feature
+++ b/features/direct_routers.feature
@@ -1,56 +1,55 @@
-Feature: Direct routers know how many they are
+Feature: Direct routers count each other
 
-  What holds for all routers together is shared out by their number. Each
-  keeps an entry in the store; time is the scenario's.
+  Limits of the whole fleet are divided by the number of routers. Each router
+  keeps an entry in the store. Time is simulated.
 
   Scenario: Routers count each other
     Given 3 routers that share a store
-    When all of them renew their entries and look
+    When all of them renew their entries and count
     Then each counts 3 routers
 
-  Scenario: A router that is gone is not counted for long
-    # Symptom: after a day with many replacements the rest may repeat little.
-    # Sequence: routers are killed; their entries stay in the store.
-    # Cause: nothing in the store ends by itself.
+  Scenario: A terminated router is not counted for long
+    # Guards against retry budgets that shrink over a day with many
+    # replacements: entries of killed routers stay in the store, which expires
+    # nothing by itself.
     Given 3 routers that share a store
-    When all of them renew their entries and look
-    And one is killed and the others go on for 40 seconds
+    When all of them renew their entries and count
+    And one is killed and the others run for 40 seconds
     Then each of the others counts 2 routers
 
-  Scenario: A router that is not renewing for a moment is still counted
+  Scenario: A router that misses a renewal is still counted
     Given 3 routers that share a store
-    When all of them renew their entries and look
-    And one is killed and the others go on for 20 seconds
+    When all of them renew their entries and count
+    And one is killed and the others run for 20 seconds
     Then each of the others counts 3 routers
 
-  Scenario: A router that stops is not counted any more
+  Scenario: A router that stops is no longer counted
     Given 3 routers that share a store
-    When all of them renew their entries and look
-    And one leaves and the others look
+    When all of them renew their entries and count
+    And one leaves and the others count
     Then each of the others counts 2 routers
 
-  Scenario: Entries of routers that are long gone are removed
+  Scenario: Entries of routers that terminated long ago are removed
     Given 3 routers that share a store
-    When all of them renew their entries and look
-    And one is killed and the others go on for 400 seconds
+    When all of them renew their entries and count
+    And one is killed and the others run for 400 seconds
     Then the store holds 2 entries
 
-  Scenario: A router whose answers are lost keeps its entry alive
-    # Symptom: a router is taken for gone while it serves.
-    # Sequence: the answer to a renewal is lost; every later one meets a
-    #   conflict with it.
-    # Cause: the version that the lost write made was never read.
+  Scenario: A router whose responses are lost keeps its entry alive
+    # Guards against counting a serving router as terminated: the response to
+    # a renewal is lost, and every later one conflicts with it because the
+    # version of that write was never read.
     Given 2 routers that share a store
-    When all of them renew their entries and look
-    And the answer to a renewal of one is lost
-    And both go on for 40 seconds
+    When all of them renew their entries and count
+    And the response to a renewal of one is lost
+    And both run for 40 seconds
     Then each counts 2 routers
 
   Scenario Outline: Counting costs a large fleet no more than a small one
-    # Symptom: control traffic of each router grows with the fleet.
-    # Sequence: all routers read all entries every few seconds.
-    # Cause: the time between two looks was the same for any number.
-    When <routers> routers whose entries take 150 bytes look in turn
+    # Guards against control traffic that grows with the fleet: all routers
+    # read all entries every few seconds, at an interval that did not depend on
+    # their number.
+    When <routers> routers whose entries take 150 bytes count in turn
     Then each reads at most <bytes> bytes a second
 
     Examples:
@@ -61,5 +60,5 @@
 
   Scenario: Without the store a router assumes several
     Given 1 routers that share a store
-    When the store gives no answer
+    When the store does not respond
     Then it assumes 8 routers
--- a/features/steps/followed_again_steps.py
+++ b/features/steps/followed_again_steps.py
@@ -1,4 +1,4 @@
-"""Check what a follower makes of changes told again, late or spoilt."""
+"""Check how a watcher handles repeated, delayed and unreadable changes."""
 
 import asyncio
 from random import Random
@@ -13,117 +13,119 @@
 from lacewing_daemon.direct import Changes
 from lacewing_daemon.direct import Listing
 from lacewing_daemon.direct._collection_watcher import CollectionWatcher
-from steps.followed_steps import Scripted
+from steps.followed_steps import ScriptedCollection
 from steps.followed_steps import WAIT_S
 
-CUT = StoreError(StoreFault.UNAVAILABLE, 'cut')
+TRUNCATED = StoreError(StoreFault.UNAVAILABLE, 'truncated')
 ROUNDING_S = 1e-6
 
 
-def _follow(context: Context, name: str, **how: Any) -> None:
-    context.scripted = Scripted()
-    context.follower = CollectionWatcher(
+def _start_watcher(context: Context, name: str, **options: Any) -> None:
+    context.scripted = ScriptedCollection()
+    context.watcher = CollectionWatcher(
         'entries',
         context.scripted,
         WAIT_S,
         Random(),
         clock=context.scripted.clock,
-        **how,
+        **options,
     )
-    asyncio.run(_step(context, Listing({name: 1}, 5)))
+    asyncio.run(_make_call(context, Listing({name: 1}, 5)))
 
 
-async def _step(
+async def _make_call(
     context: Context,
-    answer: Listing[int] | Changes[int] | StoreError,
+    response: Listing[int] | Changes[int] | StoreError,
     takes_s: float = 0.0,
 ) -> None:
-    context.scripted.answer = answer
+    context.scripted.response = response
     context.scripted.takes_s = takes_s
-    pause_s = await context.follower.step()
+    pause_s = await context.watcher.step()
     context.scripted.now_s += pause_s
 
 
-@given('a follower that keeps what lapsed, with entry "{name}"')
-def step_keeps(context: Context, name: str) -> None:
-    """Follow as upstreams are."""
-    _follow(context, name, retain_lapsed=True)
+@given('a watcher that retains lapsed entries, with entry "{name}"')
+def step_retains(context: Context, name: str) -> None:
+    """Retain lapsed entries, as for upstreams."""
+    _start_watcher(context, name, retain_lapsed=True)
 
 
-@given('a follower that drops what can\'t be read, with entry "{name}"')
+@given('a watcher that drops unreadable entries, with entry "{name}"')
 def step_drops(context: Context, name: str) -> None:
-    """Follow as upstreams are."""
-    _follow(context, name, drop_unreadable=True)
+    """Drop unreadable entries, as for upstreams."""
+    _start_watcher(context, name, drop_unreadable=True)
 
 
-@given('a strict follower whose entries are doubted after {doubted_s:f} s')
-def step_strict(context: Context, doubted_s: float) -> None:
-    """Follow as the configuration is."""
-    _follow(context, 'main', strict=True, max_unconfirmed_s=doubted_s)
+@given('a strict watcher whose entries must be confirmed within {limit_s:f} s')
+def step_strict(context: Context, limit_s: float) -> None:
+    """Watch strictly, as the configuration is watched."""
+    _start_watcher(context, 'main', strict=True, max_unconfirmed_s=limit_s)
 
 
-@when('"{name}" changes and is removed, a call fails and both are told again')
-def step_again(context: Context, name: str) -> None:
-    """Tell the two changes twice."""
+@when(
+    '"{name}" changes and is removed, a call fails and both are returned again'
+)
+def step_repeated(context: Context, name: str) -> None:
+    """Return both changes twice."""
 
-    async def play() -> None:
+    async def run_calls() -> None:
         context.scripted.now_s += 2.0
-        await _step(context, Changes(((name, 2),), 6))
-        await _step(context, Changes(((name, None),), 7))
-        assert not context.follower.entries
-        await _step(context, CUT)
-        await _step(context, Changes(((name, 2), (name, None)), 7))
-        context.left = dict(context.follower.entries)
+        await _make_call(context, Changes(((name, 2),), 6))
+        await _make_call(context, Changes(((name, None),), 7))
+        assert not context.watcher.entries
+        await _make_call(context, TRUNCATED)
+        await _make_call(context, Changes(((name, 2), (name, None)), 7))
+        context.entries_left = dict(context.watcher.entries)
 
-    asyncio.run(play())
+    asyncio.run(run_calls())
 
 
 @then('it has no entries')
 def step_none(context: Context) -> None:
-    """Look at what was left."""
-    assert not context.left, context.left
+    """Check the remaining entries."""
+    assert not context.entries_left, context.entries_left
 
 
 @when(
-    'a call that was to wait 1.2 s tells a change {late_s:d} s after it was'
+    'a call that should wait 1.2 s returns a change {late_s:d} s after it was'
     ' sent'
 )
 def step_late(context: Context, late_s: int) -> None:
-    """Note for how long the change may have been made."""
+    """Record the maximum age of the change."""
 
-    def told(_name: str, _value: int | None) -> None:
-        context.unsure_s = context.follower.max_change_age_s
+    def note_age(_name: str, _value: int | None) -> None:
+        context.max_age_s = context.watcher.max_change_age_s
 
-    context.follower.on_change(told)
-    asyncio.run(_step(context, Changes((), 5)))
-    asyncio.run(_step(context, Changes((('a', 2),), 6), late_s))
+    context.watcher.on_change(note_age)
+    asyncio.run(_make_call(context, Changes((), 5)))
+    asyncio.run(_make_call(context, Changes((('a', 2),), 6), late_s))
 
 
 @then('the change may have been made {ago_s:d} s ago')
 def step_ago(context: Context, ago_s: int) -> None:
-    """Compare."""
-    assert abs(context.unsure_s - ago_s) < ROUNDING_S, context.unsure_s
+    """Check the recorded age."""
+    assert abs(context.max_age_s - ago_s) < ROUNDING_S, context.max_age_s
 
 
-@when("its entry can't be read for {span_s:d} s")
-def step_unread(context: Context, span_s: int) -> None:
-    """Let calls return empty after their wait."""
-    asyncio.run(_step(context, Changes((), 6, ('main',))))
+@when("its entry can't be read for {duration_s:d} s")
+def step_unread(context: Context, duration_s: int) -> None:
+    """Return no changes after the wait of each call."""
+    asyncio.run(_make_call(context, Changes((), 6, ('main',))))
     context.scripted.calls.clear()
-    end_s = context.scripted.now_s + span_s
+    end_s = context.scripted.now_s + duration_s
     while context.scripted.now_s < end_s:
-        asyncio.run(_step(context, Changes((), 6), WAIT_S))
+        asyncio.run(_make_call(context, Changes((), 6), WAIT_S))
 
 
 @then('every call waits {wait_s:f} s')
 def step_waits(context: Context, wait_s: float) -> None:
-    """Look at the calls."""
+    """Check the waits of all calls."""
     waits = {wait for _, wait in context.scripted.calls}
     assert waits == {wait_s}, waits
 
 
-@when('one answer tells a change of "{name}" and that it can\'t be read')
-def step_spoilt(context: Context, name: str) -> None:
-    """Tell both."""
-    asyncio.run(_step(context, Changes(((name, 2),), 6, (name,))))
-    context.left = dict(context.follower.entries)
+@when('one response returns a change of "{name}" and reports it as unreadable')
+def step_unreadable(context: Context, name: str) -> None:
+    """Return both in one response."""
+    asyncio.run(_make_call(context, Changes(((name, 2),), 6, (name,))))
+    context.entries_left = dict(context.watcher.entries)
--- a/features/steps/router_count_steps.py
+++ b/features/steps/router_count_steps.py
@@ -15,16 +15,16 @@
 from lacewing_daemon.direct._router_count import RouterCount
 from lacewing_daemon.direct._router_count import ROUTERS
 
-STEP_S = RENEW_S / 2
+COUNT_INTERVAL_S = RENEW_S / 2
 
 
 class _Store:
-    """Keep objects in memory; answers can be lost or not come at all."""
+    """Keep objects in memory; responses can be lost or fail."""
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
-        self.loses_next = False
-        self.away = False
+        self.lose_next_response = False
+        self.is_unavailable = False
         self._version = 0
 
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
@@ -43,30 +43,30 @@
     ) -> tuple[StoredObject, ...] | StoreError:
         """Read all objects."""
         assert kind == ROUTERS
-        if self.away:
-            return StoreError(StoreFault.UNAVAILABLE, 'away')
+        if self.is_unavailable:
+            return StoreError(StoreFault.UNAVAILABLE, 'unavailable')
         return tuple(self.objects.values())
 
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
-        """Write on condition."""
-        if self.away:
-            return StoreError(StoreFault.UNAVAILABLE, 'away')
+        """Write if the version matches."""
+        if self.is_unavailable:
+            return StoreError(StoreFault.UNAVAILABLE, 'unavailable')
         found = self.objects.get(name)
         if (0 if found is None else found.version) != expect:
             return StoreError(StoreFault.CONFLICT, 'changed meanwhile')
         self._version += 1
         self.objects[name] = StoredObject(kind, name, self._version, value)
-        if self.loses_next:
-            self.loses_next = False
-            return StoreError(StoreFault.UNKNOWN, 'no answer')
+        if self.lose_next_response:
+            self.lose_next_response = False
+            return StoreError(StoreFault.UNKNOWN, 'no response')
         return self.objects[name]
 
     async def delete(
         self, kind: str, name: str, expect: int
     ) -> None | StoreError:
-        """Delete on condition."""
+        """Delete if the version matches."""
         found = self.objects.get(name)
         if found is None or found.version != expect:
             return StoreError(StoreFault.CONFLICT, 'changed meanwhile')
@@ -76,73 +76,73 @@
 
 @given('{count:d} routers that share a store')
 def step_routers(context: Context, count: int) -> None:
-    """Make the counts of several routers."""
+    """Create the counts of several routers."""
     context.store = _Store()
     context.now_s = 100.0
     context.counts = []
-    context.told = []
+    context.reported = []
     for number in range(count):
         context.counts.append(
             RouterCount(
                 context.store,
                 f'router-{number}',
                 Random(number),
-                context.told.append,
+                context.reported.append,
                 lambda: float(context.now_s),
             )
         )
 
 
-@when('all of them renew their entries and look')
+@when('all of them renew their entries and count')
 def step_all(context: Context) -> None:
-    """Let each write, then each read."""
-    asyncio.run(_renew(context))
-    asyncio.run(_look(context))
+    """Let each router write its entry, then let each read."""
+    asyncio.run(_renew_all(context))
+    asyncio.run(_count_all(context))
 
 
-@when('one is killed and the others go on for {seconds:d} seconds')
+@when('one is killed and the others run for {seconds:d} seconds')
 def step_killed(context: Context, seconds: int) -> None:
-    """Drop one and let time pass for the others."""
+    """Drop one router and let time pass for the others."""
     context.counts.pop()
-    _go_on(context, seconds)
+    _run_routers(context, seconds)
 
 
-@when('both go on for {seconds:d} seconds')
-def step_go_on(context: Context, seconds: int) -> None:
+@when('both run for {seconds:d} seconds')
+def step_run(context: Context, seconds: int) -> None:
     """Let time pass."""
-    _go_on(context, seconds)
+    _run_routers(context, seconds)
 
 
-@when('one leaves and the others look')
+@when('one leaves and the others count')
 def step_leaves(context: Context) -> None:
-    """Stop one regularly."""
+    """Shut one router down gracefully."""
     asyncio.run(context.counts.pop().deregister())
-    asyncio.run(_look(context))
+    asyncio.run(_count_all(context))
 
 
-@when('the answer to a renewal of one is lost')
+@when('the response to a renewal of one is lost')
 def step_lost(context: Context) -> None:
-    """Let the write take effect without an answer."""
-    context.store.loses_next = True
+    """Let the write take effect without a response."""
+    context.store.lose_next_response = True
     asyncio.run(context.counts[0].renew())
 
 
-@when('{count:d} routers whose entries take {size:d} bytes look in turn')
+@when('{count:d} routers whose entries take {size:d} bytes count in turn')
 def step_many(context: Context, count: int, size: int) -> None:
-    """Work out what each look reads, over the time between two."""
+    """Compute the bytes read by a count over the count interval."""
     context.bytes_per_s = count * size / count_interval_s(count)
 
 
-@then('each reads at most {most:d} bytes a second')
-def step_bytes(context: Context, most: int) -> None:
-    """Compare."""
-    assert context.bytes_per_s <= most, context.bytes_per_s
+@then('each reads at most {limit_bytes:d} bytes a second')
+def step_bytes(context: Context, limit_bytes: int) -> None:
+    """Check the bytes read a second."""
+    assert context.bytes_per_s <= limit_bytes, context.bytes_per_s
 
 
-@when('the store gives no answer')
-def step_away(context: Context) -> None:
-    """Renew and look in vain."""
-    context.store.away = True
+@when('the store does not respond')
+def step_unavailable(context: Context) -> None:
+    """Fail to renew and to count."""
+    context.store.is_unavailable = True
     step_all(context)
 
 
@@ -150,32 +150,32 @@
 @then('each of the others counts {count:d} routers')
 @then('it assumes {count:d} routers')
 def step_count(context: Context, count: int) -> None:
-    """Compare the counts."""
-    for one in context.counts:
-        assert one.count == count, one.count
-    if context.told:
-        assert context.told[-1] == count, context.told
+    """Check the counts."""
+    for router_count in context.counts:
+        assert router_count.count == count, router_count.count
+    if context.reported:
+        assert context.reported[-1] == count, context.reported
 
 
 @then('the store holds {count:d} entries')
 def step_entries(context: Context, count: int) -> None:
-    """Count the entries that are left."""
+    """Check the number of remaining entries."""
     assert len(context.store.objects) == count, context.store.objects
 
 
-def _go_on(context: Context, seconds: int) -> None:
-    for number in range(int(seconds / STEP_S)):
-        context.now_s += STEP_S
+def _run_routers(context: Context, seconds: int) -> None:
+    for number in range(int(seconds / COUNT_INTERVAL_S)):
+        context.now_s += COUNT_INTERVAL_S
         if number % 2:
-            asyncio.run(_renew(context))
-        asyncio.run(_look(context))
+            asyncio.run(_renew_all(context))
+        asyncio.run(_count_all(context))
 
 
-async def _renew(context: Context) -> None:
-    for one in context.counts:
-        await one.renew()
+async def _renew_all(context: Context) -> None:
+    for router_count in context.counts:
+        await router_count.renew()
 
 
-async def _look(context: Context) -> None:
-    for one in context.counts:
-        await one.refresh()
+async def _count_all(context: Context) -> None:
+    for router_count in context.counts:
+        await router_count.refresh()
--- a/features/steps/store_calls_steps.py
+++ b/features/steps/store_calls_steps.py
@@ -20,52 +20,52 @@
 from lacewing_daemon.direct._store_eras import StoreEras
 from lacewing_platform_testing import StoreMode
 from prometheus_client import REGISTRY
-from steps.followed_steps import Answered
-from steps.followed_steps import Scripted
+from steps.followed_steps import Response
+from steps.followed_steps import ScriptedCollection
 from steps.followed_steps import WAIT_S
 from structlog.testing import capture_logs
 from support.direct_bench import direct_bench
 
 COLLECTIONS = ('configuration', 'upstreams', 'weights')
-AWAY = StoreError(StoreFault.UNAVAILABLE, 'away')
+STORE_UNAVAILABLE = StoreError(StoreFault.UNAVAILABLE, 'unavailable')
 
 
-class _NoObjects:
-    """Answer each call for own objects with a failure."""
+class _UnavailableObjects:
+    """Fail each call for system objects."""
 
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
         """Fail."""
-        return AWAY
+        return STORE_UNAVAILABLE
 
     async def peek(self, kind: str, name: str) -> StoredObject | StoreError:
         """Fail."""
-        return AWAY
+        return STORE_UNAVAILABLE
 
     async def peek_all(
         self, kind: str
     ) -> tuple[StoredObject, ...] | StoreError:
         """Fail."""
-        return AWAY
+        return STORE_UNAVAILABLE
 
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
         """Fail."""
-        return AWAY
+        return STORE_UNAVAILABLE
 
     async def delete(
         self, kind: str, name: str, expect: int
     ) -> None | StoreError:
         """Fail."""
-        return AWAY
+        return STORE_UNAVAILABLE
 
 
-@given('a follower of "{name}" whose calls are counted')
+@given('a watcher of "{name}" whose calls are counted')
 def step_counted(context: Context, name: str) -> None:
-    """Make a follower with a clock of its own."""
-    context.scripted = Scripted()
+    """Create a watcher with a simulated clock."""
+    context.scripted = ScriptedCollection()
     context.calls = StoreCallCounter()
-    context.follower = CollectionWatcher(
+    context.watcher = CollectionWatcher(
         name,
         context.scripted,
         WAIT_S,
@@ -75,51 +75,54 @@
     )
 
 
-@when('it reads, waits in vain, is told a change and loses the next call')
+@when(
+    'it reads, waits without a result, receives a change and fails the next'
+    ' call'
+)
 def step_all_reasons(context: Context) -> None:
-    """Give each kind of answer."""
-    answers: tuple[Answered, ...] = (
+    """Return each kind of response."""
+    responses: tuple[Response, ...] = (
         Listing({'a': 1}, 5),
         Changes((), 5),
         Changes((('a', 2),), 6),
-        AWAY,
+        STORE_UNAVAILABLE,
         Changes((), 6),
     )
 
-    async def play() -> None:
-        for answer in answers:
-            context.scripted.answer = answer
-            await context.follower.step()
+    async def make_calls() -> None:
+        for response in responses:
+            context.scripted.response = response
+            await context.watcher.step()
 
-    asyncio.run(play())
+    asyncio.run(make_calls())
 
 
-@given('a store of own objects whose calls are counted')
-def step_own_objects(context: Context) -> None:
-    """Count the calls for own objects."""
+@given('a store of system objects whose calls are counted')
+def step_system_objects(context: Context) -> None:
+    """Count the calls for system objects."""
     context.calls = StoreCallCounter()
     context.objects = InstrumentedObjects(
-        _NoObjects(), context.calls, StoreEras()
+        _UnavailableObjects(), context.calls, StoreEras()
     )
 
 
-@when('an object is written, read, looked at cheaply and removed')
-def step_own_calls(context: Context) -> None:
+@when('an object is written, read, peeked at and removed')
+def step_object_calls(context: Context) -> None:
     """Make one call of each kind."""
 
-    async def play() -> None:
+    async def make_calls() -> None:
         await context.objects.put('leases', 'weights', b'', 0)
         await context.objects.get('leases', 'weights')
         await context.objects.peek('leases', 'weights')
         await context.objects.peek_all('routers')
         await context.objects.delete('leases', 'weights', 1)
 
-    asyncio.run(play())
+    asyncio.run(make_calls())
 
 
 @when('the counts are logged twice')
 def step_logged(context: Context) -> None:
-    """Log them with nothing between."""
+    """Log them twice without calls in between."""
     with capture_logs() as context.lines:
         context.calls.log_counts()
         context.calls.log_counts()
@@ -127,7 +130,7 @@
 
 @then('these calls were counted')
 def step_counts(context: Context) -> None:
-    """Compare with the table."""
+    """Check the counts against the table."""
     expected: Counter[str] = Counter()
     for row in context.table:
         name = f'{row["subject"]}.{row["reason"]}'
@@ -135,16 +138,16 @@
     assert context.calls.counts == expected, context.calls.counts
 
 
-@then('one line tells {calls:d} calls')
+@then('one log line reports {calls:d} calls')
 def step_line(context: Context, calls: int) -> None:
-    """Look at what was logged."""
+    """Check the log line."""
     assert len(context.lines) == 1, context.lines
-    told = sum(context.lines[0]['calls'].values())
-    assert told == calls, told
+    reported = sum(context.lines[0]['calls'].values())
+    assert reported == calls, reported
 
 
-def _made(subject: str, reason: str) -> float:
-    """Return the calls that all routers of this process made so far."""
+def _call_count(subject: str, reason: str) -> float:
+    """Return the number of calls by all routers of this process."""
     labels = {'subject': subject, 'reason': reason}
     made = REGISTRY.get_sample_value(
         'lacewing_direct_store_calls_total', labels
@@ -152,24 +155,24 @@
     return made or 0.0
 
 
-def _all_made(reason: str) -> dict[str, float]:
-    return {subject: _made(subject, reason) for subject in COLLECTIONS}
+def _call_counts(reason: str) -> dict[str, float]:
+    return {subject: _call_count(subject, reason) for subject in COLLECTIONS}
 
 
-@when('the store turns all calls away for {seconds:f} seconds')
+@when('the store refuses all calls for {seconds:f} seconds')
 def step_busy(context: Context, seconds: float) -> None:
-    """Turn all calls away for a while."""
+    """Refuse all calls for a while."""
     bench = direct_bench(context)
     bench.store.mode = StoreMode.BUSY
-    # Calls that wait end meanwhile.
+    # Calls that are waiting end meanwhile.
     time.sleep(seconds / 2)
-    before = _all_made('failure')
+    before = _call_counts('failure')
     time.sleep(seconds)
-    after = _all_made('failure')
+    after = _call_counts('failure')
     context.failures = {
         subject: after[subject] - before[subject] for subject in COLLECTIONS
     }
-    context.quiet = _all_made('quiet')
+    context.calls_before = _call_counts('quiet')
     bench.store.mode = StoreMode.CALM
 
 
@@ -178,20 +181,22 @@
     ' configuration'
 )
 def step_few(context: Context, times: float) -> None:
-    """Compare the calls that failed."""
+    """Compare the numbers of failed calls."""
     others = context.failures['upstreams'] + context.failures['weights']
     own = context.failures['configuration']
     assert own > 0, context.failures
     assert others <= own * times, context.failures
 
 
-@then('all collections are followed again within {seconds:f} seconds')
-def step_followed(context: Context, seconds: float) -> None:
-    """Wait until each has made a call after one that succeeded."""
+@then('all collections are watched again within {seconds:f} seconds')
+def step_reconnected(context: Context, seconds: float) -> None:
+    """Wait until each has made a call after a successful one."""
     end_s = time.monotonic() + seconds
     while time.monotonic() < end_s:
-        now = _all_made('quiet')
-        if all(now[name] > context.quiet[name] for name in COLLECTIONS):
+        now = _call_counts('quiet')
+        if all(now[name] > context.calls_before[name] for name in COLLECTIONS):
             return
         time.sleep(0.01)
-    raise AssertionError(f'expected calls after {context.quiet}, came {now}')
+    raise AssertionError(
+        f'expected calls after {context.calls_before}, came {now}'
+    )
--- a/features/steps/store_returns_own_steps.py
+++ b/features/steps/store_returns_own_steps.py
@@ -1,4 +1,4 @@
-"""Check what routers keep in a store that returns from a copy."""
+"""Check what routers store across a restore from a snapshot."""
 
 import asyncio
 from random import Random
@@ -22,20 +22,20 @@
 from lacewing_daemon.lease import Lease
 from lacewing_daemon.lease import LeaseHeld
 from lacewing_daemon.lease import LEASES
-from steps.followed_steps import Scripted
+from steps.followed_steps import ScriptedCollection
 from support.orders_bench import ManualClock
-from support.returning_store import ReturningStore
+from support.returning_store import RestorableStore
 
 LEASE = 'weights'
 LEASE_S = 1.8
 MARGIN_S = 0.4
-LOOK_S = 5.0
+COUNT_INTERVAL_S = 5.0
 
 
 @given('a store of objects in era 1')
 def step_store(context: Context) -> None:
-    """Begin with an empty store and a clock of the scenario's."""
-    context.store = ReturningStore()
+    """Start with an empty store and a simulated clock."""
+    context.store = RestorableStore()
     context.clock = ManualClock()
     context.leases = {}
 
@@ -50,137 +50,141 @@
 
 
 def _acquire(context: Context, name: str) -> bool:
-    answer = asyncio.run(_lease(context, name).acquire())
-    return isinstance(answer, LeaseHeld)
+    response = asyncio.run(_lease(context, name).acquire())
+    return isinstance(response, LeaseHeld)
 
 
-def _pass(context: Context, span_s: float) -> None:
-    context.clock.now_s += span_s
+def _advance(context: Context, duration_s: float) -> None:
+    context.clock.now_s += duration_s
 
 
-@given('router "{name}" held and released the lease before the copy')
+@given('router "{name}" held and released the lease before the snapshot')
 def step_released(context: Context, name: str) -> None:
-    """Leave a record of nobody in the copy."""
+    """Leave a record without a holder in the snapshot."""
     assert _acquire(context, name)
     asyncio.run(_lease(context, name).release())
-    context.store.copy()
+    context.store.take_snapshot()
 
 
-@given('router "{name}" held the lease before the copy and did not release it')
+@given(
+    'router "{name}" held the lease before the snapshot and did not release it'
+)
 def step_held_before(context: Context, name: str) -> None:
-    """Leave an own record in the copy, and let it lapse."""
+    """Leave an own record in the snapshot, and let it expire."""
     assert _acquire(context, name)
-    context.store.copy()
-    # Another one waits it out.
+    context.store.take_snapshot()
+    # Another router starts to wait until it expires.
     assert not _acquire(context, 'b')
-    _pass(context, LEASE_S + MARGIN_S + 0.1)
+    _advance(context, LEASE_S + MARGIN_S + 0.1)
 
 
 @given('router "{name}" holds the lease')
 def step_holds(context: Context, name: str) -> None:
-    """Take the lease."""
+    """Acquire the lease."""
     if not _acquire(context, name):
-        _pass(context, LEASE_S + MARGIN_S + 0.1)
+        _advance(context, LEASE_S + MARGIN_S + 0.1)
         assert _acquire(context, name)
     if not context.store.objects:
-        context.store.copy()
+        context.store.take_snapshot()
 
 
-@given('router "{name}" holds a lease that is no part of the copy')
-def step_no_part(context: Context, name: str) -> None:
-    """Take the lease after the copy."""
-    context.store.copy()
+@given('router "{name}" holds a lease that is not in the snapshot')
+def step_not_in_snapshot(context: Context, name: str) -> None:
+    """Acquire the lease after the snapshot."""
+    context.store.take_snapshot()
     assert _acquire(context, name)
 
 
 @given('router "{name}" knows that it is held')
 def step_knows(context: Context, name: str) -> None:
-    """Let another one ask in vain."""
+    """Fail to acquire the lease."""
     assert not _acquire(context, name)
 
 
-@when('the store returns from the copy')
+@when('the platform restores the store from the snapshot')
 def step_returns(context: Context) -> None:
-    """Lose what was written since."""
-    context.store.return_from_copy()
-    context.returned_s = context.clock.now_s
+    """Lose all writes since the snapshot."""
+    context.store.restore()
+    context.restored_s = context.clock.now_s
 
 
-@then('router "{name}" takes the lease after {after_s:f} s and not before')
+@then('router "{name}" acquires the lease after {after_s:f} s and not earlier')
 def step_takes(context: Context, name: str, after_s: float) -> None:
-    """Ask every 0.1 s."""
-    began_s = context.clock.now_s
+    """Try to acquire the lease every 0.1 s."""
+    started_s = context.clock.now_s
     while not _acquire(context, name):
-        _pass(context, 0.1)
-        assert context.clock.now_s - began_s < 4 * after_s
-    assert context.clock.now_s - began_s >= after_s - 1e-6
+        _advance(context, 0.1)
+        assert context.clock.now_s - started_s < 4 * after_s
+    assert context.clock.now_s - started_s >= after_s - 1e-6
 
 
-@then('"{name}" counts another holder as acting until the return')
+@then('"{name}" assumes that another holder acted until the restore')
 def step_acted(context: Context, name: str) -> None:
-    """Look at when another one may have acted."""
+    """Check when another holder may have acted last."""
     ago_s = _lease(context, name).other_acted_ago_s
-    since_s = context.clock.now_s - context.returned_s
+    since_s = context.clock.now_s - context.restored_s
     assert ago_s <= since_s + 1e-6, (ago_s, since_s)
 
 
-@when('the store returns and another write has the same revision')
+@when(
+    'the platform restores the store and another write has the same revision'
+)
 def step_same_revision(context: Context) -> None:
-    """Give the revision of the lease out again."""
-    context.store.copy()
-    context.store.return_from_copy()
+    """Assign the revision of the lease again."""
+    context.store.take_snapshot()
+    context.store.restore()
 
 
-@then('router "{name}" renews the lease without effect on its own belief')
-def step_no_belief(context: Context, name: str) -> None:
-    """Renew in the new era; the condition holds by chance."""
+@then('router "{name}" renews the lease and does not consider it held')
+def step_renews_unheld(context: Context, name: str) -> None:
+    """Renew in the new era; the version matches by chance."""
     assert not _acquire(context, name)
     assert not _lease(context, name).is_held
 
 
-@when('the answer to a renewal is lost and the store returns')
+@when('the response to a renewal is lost and the store is restored')
 def step_lost(context: Context) -> None:
-    """Let the write be lost with its answer."""
-    context.store.copy()
+    """Lose the write together with its response."""
+    context.store.take_snapshot()
     context.record = context.store.objects[LEASES, LEASE]
-    context.store.loses_next = True
-    _pass(context, 0.7)
+    context.store.restore_on_next_put = True
+    _advance(context, 0.7)
 
 
 @then('router "{name}" does not hold the lease')
 def step_not_held(context: Context, name: str) -> None:
-    """Renew, and look."""
+    """Check that a renewal fails."""
     assert not _acquire(context, name)
 
 
-@then('the store has its record of the copy')
+@then('the store has the record from the snapshot')
 def step_record(context: Context) -> None:
     """Compare versions."""
     assert context.store.objects[LEASES, LEASE] == context.record
 
 
 @when(
-    'the store returns from the copy twice and "{name}" takes the lease each'
-    ' time'
+    'the platform restores the store from the snapshot twice and'
+    ' "{name}" acquires the lease'
 )
 def step_twice(context: Context, name: str) -> None:
-    """Note the fencing numbers."""
+    """Record the fencing numbers."""
     context.fences = [_lease(context, name).fence]
-    context.store.copy()
+    context.store.take_snapshot()
     for _ in range(2):
-        context.store.return_from_copy()
+        context.store.restore()
         while not _acquire(context, name):
-            _pass(context, 0.1)
+            _advance(context, 0.1)
         context.fences.append(_lease(context, name).fence)
 
 
 @then('each fencing number is higher than the one before')
 def step_higher(context: Context) -> None:
-    """Compare."""
+    """Check that the numbers increase strictly."""
     assert context.fences == sorted(set(context.fences)), context.fences
 
 
-def _routers(context: Context) -> None:
+def _create_routers(context: Context) -> None:
     context.counts = []
     for number in range(3):
         eras = StoreEras()
@@ -197,105 +201,107 @@
         )
 
 
-def _look(context: Context) -> list[int]:
-    """Let each router renew if it is due, and look."""
+def _count(context: Context) -> list[int]:
+    """Let each router renew its entry if it is due, and count."""
 
-    async def play(count: Any) -> None:
+    async def renew_and_count(count: Any) -> None:
         if context.clock.now_s - count._renewed_s >= RENEW_S:
             await count.renew()
         await count.refresh()
 
     for count in context.counts:
-        asyncio.run(play(count))
+        asyncio.run(renew_and_count(count))
     return [count.count for count in context.counts]
 
 
-def _looks(context: Context, times: int) -> list[list[int]]:
+def _count_repeatedly(context: Context, times: int) -> list[list[int]]:
     found = []
     for _ in range(times):
-        _pass(context, LOOK_S)
-        found.append(_look(context))
+        _advance(context, COUNT_INTERVAL_S)
+        found.append(_count(context))
     return found
 
 
-@given('3 routers counted each other after the copy')
+@given('3 routers counted each other after the snapshot')
 def step_counted_after(context: Context) -> None:
-    """Make the copy before any router wrote its entry."""
-    context.store.copy()
-    _routers(context)
-    assert _looks(context, 2)[-1] == [3, 3, 3]
+    """Take the snapshot before any router has written its entry."""
+    context.store.take_snapshot()
+    _create_routers(context)
+    assert _count_repeatedly(context, 2)[-1] == [3, 3, 3]
 
 
-@given('3 routers counted each other before the copy and were renewed often')
+@given('3 routers counted each other before the snapshot and renewed often')
 def step_counted_before(context: Context) -> None:
-    """Let versions grow far beyond those of the copy."""
-    _routers(context)
-    _looks(context, 2)
-    context.store.copy()
-    assert _looks(context, 20)[-1] == [3, 3, 3]
+    """Let versions grow far beyond those in the snapshot."""
+    _create_routers(context)
+    _count_repeatedly(context, 2)
+    context.store.take_snapshot()
+    assert _count_repeatedly(context, 20)[-1] == [3, 3, 3]
 
 
 @then('each counts 3 routers while all write their entries again')
 def step_counts(context: Context) -> None:
-    """Look a few times."""
-    found = _looks(context, 3)
+    """Count a few times."""
+    found = _count_repeatedly(context, 3)
     assert found == [[3, 3, 3]] * 3, found
 
 
 @then('the store has entries of 3 routers')
 def step_entries(context: Context) -> None:
-    """Look at the store."""
+    """Check the entries in the store."""
     kinds = [kind for kind, _ in context.store.objects]
     assert kinds.count(ROUTERS) == 3, kinds
 
 
-@then('each counts 3 routers for {span_s:d} s')
-def step_counts_for(context: Context, span_s: int) -> None:
-    """Look all the time."""
-    times = int(span_s / LOOK_S)
-    found = _looks(context, times)
+@then('each counts 3 routers for {duration_s:d} s')
+def step_counts_for(context: Context, duration_s: int) -> None:
+    """Count repeatedly for the whole time."""
+    times = int(duration_s / COUNT_INTERVAL_S)
+    found = _count_repeatedly(context, times)
     assert found == [[3, 3, 3]] * times, found
 
 
-@given('a router that wrote a record of a crash after the copy')
+@given('a router that wrote a record of a crash after the snapshot')
 def step_crash(context: Context) -> None:
-    """Write a record through the store of crashes."""
-    context.store.copy()
+    """Write a record through the crash store."""
+    context.store.take_snapshot()
     context.eras = StoreEras()
     store = InstrumentedObjects(
         context.store, StoreCallCounter(), context.eras
     )
-    unused: Any = Scripted()
-    followed: CollectionWatcher[str] = CollectionWatcher(
+    unused: Any = ScriptedCollection()
+    watcher: CollectionWatcher[str] = CollectionWatcher(
         CRASHES, unused, 1.0, Random()
     )
-    context.stored = CrashStore(
-        store, followed, 'router-1', Random(), context.eras, context.clock
+    context.crash_store = CrashStore(
+        store, watcher, 'router-1', Random(), context.eras, context.clock
+    )
+    context.crash_store.save(
+        CrashRecord(UpstreamIncarnation('engine-1', 1), ())
     )
-    context.stored.save(CrashRecord(UpstreamIncarnation('engine-1', 1), ()))
     context.eras.observe(1)
-    _write_due(context)
-    assert _crashes(context) == 1
+    _write_pending(context)
+    assert _crash_record_count(context) == 1
 
 
 @then('the store has the record again')
 def step_crash_again(context: Context) -> None:
-    """Tell the era, as any answer does."""
-    assert _crashes(context) == 0
+    """Report the era, as any response does."""
+    assert _crash_record_count(context) == 0
     context.eras.observe(context.store.era)
-    _write_due(context)
-    assert _crashes(context) == 1
+    _write_pending(context)
+    assert _crash_record_count(context) == 1
 
 
-def _write_due(context: Context) -> None:
-    async def play() -> None:
-        task = asyncio.create_task(context.stored.run())
+def _write_pending(context: Context) -> None:
+    async def run_writer() -> None:
+        task = asyncio.create_task(context.crash_store.run())
         await asyncio.sleep(0.05)
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(run_writer())
 
 
-def _crashes(context: Context) -> int:
+def _crash_record_count(context: Context) -> int:
     kinds = [kind for kind, _ in context.store.objects]
     return kinds.count(CRASHES)
--- a/features/steps/store_returns_steps.py
+++ b/features/steps/store_returns_steps.py
@@ -1,4 +1,4 @@
-"""Check what routers serve by after the store returned from a copy."""
+"""Check what routers serve after the store was restored."""
 
 import time
 from typing import Any
@@ -11,10 +11,10 @@
 from support.direct_bench import KEY
 from support.direct_bench import OTHER_KEY
 
-NOISE = 30
+UNRELATED_WRITES = 30
 
 
-def _without(bench: DirectBench, key: str) -> list[dict[str, Any]]:
+def _tenants_without(bench: DirectBench, key: str) -> list[dict[str, Any]]:
     teams = []
     for team in bench.config['Tenants']:
         if key not in team['ApiKeys']:
@@ -23,7 +23,7 @@
 
 
 def _write(bench: DirectBench, tenants: list[dict[str, Any]]) -> None:
-    """Write a configuration from the routers' loop."""
+    """Write a configuration; call it on the event loop of the routers."""
     bench.config = {
         **bench.config,
         'Tenants': tenants,
@@ -33,109 +33,114 @@
 
 
 @when(
-    'the store returns from a copy, a key is taken away and other writes'
-    ' follow'
+    'the platform restores the store, a key is revoked and other writes follow'
 )
 def step_revoked_after(context: Context) -> None:
-    """Let revisions pass those that the router had read, in one go."""
+    """Exceed the revisions that the router has read, in one step."""
     bench = direct_bench(context)
-    bench.until(lambda: bench.ask().status == 200, 'an answer')
+    bench.until(lambda: bench.ask().status == 200, 'a response')
     context.key = KEY
 
-    def play() -> None:
-        kept = bench.store.snapshot()
-        for number in range(NOISE):
+    def write_unrelated() -> None:
+        snapshot = bench.store.snapshot()
+        for number in range(UNRELATED_WRITES):
             bench.store.put('noise', f'before-{number}', number)
-        context.read_up_to = bench.store.revision
-        context.kept = kept
+        context.read_revision = bench.store.revision
+        context.snapshot = snapshot
 
-    bench.on_loop(play)
-    # The router's calls that wait end and are made from the last revision.
+    bench.on_loop(write_unrelated)
+    # Pending watch calls end, and new ones start from the last revision.
     time.sleep(2.5)
 
-    def turn() -> None:
-        bench.store.restore_from(context.kept)
-        _write(bench, _without(bench, KEY))
-        for number in range(2 * NOISE):
+    def restore_and_write() -> None:
+        bench.store.restore_from(context.snapshot)
+        _write(bench, _tenants_without(bench, KEY))
+        for number in range(2 * UNRELATED_WRITES):
             bench.store.put('noise', f'after-{number}', number)
-        assert bench.store.revision > context.read_up_to
+        assert bench.store.revision > context.read_revision
 
-    bench.on_loop(turn)
+    bench.on_loop(restore_and_write)
 
 
-@when('a key is taken away and the store returns from a copy made before')
+@when('a key is revoked and the store is restored to a snapshot from before')
 def step_revoked_before(context: Context) -> None:
-    """Take the key away after the copy and wait until it is refused."""
+    """Revoke the key after the snapshot and wait until it is rejected."""
     bench = direct_bench(context)
     context.key = KEY
-    kept = bench.on_loop(bench.store.snapshot)
-    bench.on_loop(lambda: _write(bench, _without(bench, KEY)))
-    bench.until(lambda: bench.ask().status == 401, 'a refused key')
-    bench.on_loop(lambda: bench.store.restore_from(kept))
+    snapshot = bench.on_loop(bench.store.snapshot)
+    bench.on_loop(lambda: _write(bench, _tenants_without(bench, KEY)))
+    bench.until(lambda: bench.ask().status == 401, 'a rejected key')
+    bench.on_loop(lambda: bench.store.restore_from(snapshot))
 
 
 @when('the operator writes the configuration again')
-def step_again(context: Context) -> None:
-    """Write what was lost, as it was."""
+def step_rewrite_configuration(context: Context) -> None:
+    """Repeat the lost write unchanged."""
     bench = direct_bench(context)
     bench.on_loop(lambda: bench.store.put('config', 'main', bench.config))
 
 
-@then('no request with that key is answered 200 for {span_s:d} s')
-def step_never(context: Context, span_s: int) -> None:
-    """Ask again and again."""
+@then('no request with that key is answered 200 for {duration_s:d} s')
+def step_never(context: Context, duration_s: int) -> None:
+    """Send requests repeatedly."""
     bench = direct_bench(context)
-    end_s = time.monotonic() + span_s
+    end_s = time.monotonic() + duration_s
     while time.monotonic() < end_s:
-        answer = bench.ask(key=context.key)
-        assert answer.status in (401, 503), answer.status
+        response = bench.ask(key=context.key)
+        assert response.status in (401, 503), response.status
         time.sleep(0.05)
 
 
 @then('a request with another key soon gets {status:d}')
 def step_other(context: Context, status: int) -> None:
-    """Ask until it does."""
+    """Send requests until the status matches."""
     bench = direct_bench(context)
     bench.until(lambda: bench.ask(key=OTHER_KEY).status == status, str(status))
 
 
-@when('upstream "{name}" goes and the store returns from a copy made before')
-def step_goes(context: Context, name: str) -> None:
-    """Remove the entry after the copy."""
+@when(
+    'upstream "{name}" is removed and the store is restored to an earlier'
+    ' snapshot'
+)
+def step_removed(context: Context, name: str) -> None:
+    """Remove the entry after the snapshot."""
     bench = direct_bench(context)
     router = bench.routers[0]
-    kept = bench.on_loop(bench.store.snapshot)
+    snapshot = bench.on_loop(bench.store.snapshot)
     bench.on_loop(lambda: bench.store.remove('servers', name))
     bench.until(lambda: name not in router.upstream_ids, 'a known removal')
     bench.upstreams[name].received.clear()
-    bench.on_loop(lambda: bench.store.restore_from(kept))
+    bench.on_loop(lambda: bench.store.restore_from(snapshot))
 
 
-@then('no request reaches "{name}" for {span_s:d} s')
-def step_unreached(context: Context, name: str, span_s: int) -> None:
-    """Ask again and again."""
+@then('no request reaches "{name}" for {duration_s:d} s')
+def step_unreached(context: Context, name: str, duration_s: int) -> None:
+    """Send requests repeatedly."""
     bench = direct_bench(context)
-    end_s = time.monotonic() + span_s
+    end_s = time.monotonic() + duration_s
     while time.monotonic() < end_s:
         bench.ask()
         time.sleep(0.05)
     assert not bench.upstreams[name].received
 
 
-@when('upstream "{name}" comes and the store returns from a copy made before')
-def step_comes(context: Context, name: str) -> None:
-    """Register an upstream after the copy."""
+@when(
+    'upstream "{name}" is registered and the store is restored to an earlier'
+    ' snapshot'
+)
+def step_registered(context: Context, name: str) -> None:
+    """Register an upstream after the snapshot."""
     bench = direct_bench(context)
     router = bench.routers[0]
-    kept = bench.on_loop(bench.store.snapshot)
+    snapshot = bench.on_loop(bench.store.snapshot)
     bench.add_upstream(name, 'registry')
     bench.until(lambda: name in router.upstream_ids, 'a known upstream')
-    bench.on_loop(lambda: bench.store.restore_from(kept))
+    bench.on_loop(lambda: bench.store.restore_from(snapshot))
 
 
 @when('upstream "{name}" writes its entry again {after_s:d} s later')
-def step_registers(context: Context, name: str, after_s: int) -> None:
-    """Look meanwhile whether the router knows it."""
+def step_rewrites(context: Context, name: str, after_s: int) -> None:
+    """Record meanwhile whether the router knows the upstream."""
     bench = direct_bench(context)
     context.known = []
     end_s = time.monotonic() + after_s
@@ -145,9 +150,9 @@
     bench.register(name)
 
 
-@then('"{name}" was known all the time')
+@then('"{name}" was known throughout')
 def step_known(context: Context, name: str) -> None:
-    """Look for as long as it could still be dropped."""
+    """Check for as long as the entry could still be dropped."""
     bench = direct_bench(context)
     end_s = time.monotonic() + 3.0
     while time.monotonic() < end_s:
--- a/features/steps/store_series_steps.py
+++ b/features/steps/store_series_steps.py
@@ -1,4 +1,4 @@
-"""Replay series of changes of the store to one that follows them."""
+"""Replay series of store changes to a collection watcher."""
 
 import asyncio
 from random import Random
@@ -13,13 +13,13 @@
 from lacewing_daemon.direct._fleet import UPSTREAMS_BATCH_DELAY_S
 from lacewing_daemon.direct._fleet import UPSTREAMS_WAIT_S
 
-# What one call and its answer take on the way to the store and back.
-CALL_S = 0.01
+# Round-trip time of a call to the store.
+CALL_LATENCY_S = 0.01
 SEED = 7
 
 
-class _ChangingStore:
-    """Tell changes at their times; the scenario's clock moves with calls."""
+class _ChangingCollection:
+    """Return changes at their times; calls advance the simulated clock."""
 
     def __init__(self, times_s: list[float]) -> None:
         self.now_s = 0.0
@@ -27,28 +27,28 @@
         self.calls = 0
 
     def clock(self) -> float:
-        """Return the scenario's time."""
+        """Return the simulated time."""
         return self.now_s
 
     async def read(self) -> Listing[int]:
-        """Return the entries as of the first revision."""
-        self.now_s += CALL_S
+        """Return the empty list at the first revision."""
+        self.now_s += CALL_LATENCY_S
         return Listing({}, 0)
 
     async def changes(self, since: int, wait_s: float) -> Changes[int]:
-        """Wait for the next change; revisions count changes."""
+        """Wait for the next change; each change adds one revision."""
         self.calls += 1
         end_s = self.now_s + wait_s
         if since < len(self.times_s):
             self.now_s = max(self.now_s, min(end_s, self.times_s[since]))
         else:
             self.now_s = end_s
-        made = [time_s for time_s in self.times_s if time_s <= self.now_s]
+        visible = [time_s for time_s in self.times_s if time_s <= self.now_s]
         changed = []
-        for number in range(since, len(made)):
+        for number in range(since, len(visible)):
             changed.append((f'upstream-{number}', number))
-        self.now_s += CALL_S
-        return Changes(tuple(changed), len(made))
+        self.now_s += CALL_LATENCY_S
+        return Changes(tuple(changed), len(visible))
 
 
 @given(
@@ -59,20 +59,20 @@
     """Draw the times of the changes."""
     random = Random(SEED)
     times_s = [random.uniform(0, seconds) for _ in range(rate * seconds)]
-    context.store = _ChangingStore(sorted(times_s))
+    context.store = _ChangingCollection(sorted(times_s))
 
 
 @given('entries of upstreams that change once after {seconds:d} seconds')
 def step_once(context: Context, seconds: int) -> None:
-    """Set one change."""
-    context.store = _ChangingStore([float(seconds)])
+    """Schedule one change."""
+    context.store = _ChangingCollection([float(seconds)])
 
 
-@when('a router follows them')
-def step_follow(context: Context) -> None:
-    """Make calls until all changes are told."""
+@when('a router watches them')
+def step_watch(context: Context) -> None:
+    """Make calls until all changes are reported."""
     store = context.store
-    follower: CollectionWatcher[int] = CollectionWatcher(
+    watcher: CollectionWatcher[int] = CollectionWatcher(
         'upstreams',
         store,
         UPSTREAMS_WAIT_S,
@@ -80,30 +80,30 @@
         batch_delay_s=UPSTREAMS_BATCH_DELAY_S,
         clock=store.clock,
     )
-    context.late_s = []
+    context.delays_s = []
 
-    def told(_name: str, number: int | None) -> None:
+    def record_delay(_name: str, number: int | None) -> None:
         assert number is not None
-        context.late_s.append(store.now_s - store.times_s[number])
+        context.delays_s.append(store.now_s - store.times_s[number])
 
-    follower.on_change(told)
+    watcher.on_change(record_delay)
 
-    async def play() -> None:
-        while len(context.late_s) < len(store.times_s):
-            pause_s = await follower.step()
+    async def make_calls() -> None:
+        while len(context.delays_s) < len(store.times_s):
+            pause_s = await watcher.step()
             store.now_s += pause_s
 
-    asyncio.run(play())
+    asyncio.run(make_calls())
 
 
-@then('it makes at most {most:f} calls a second')
-def step_calls(context: Context, most: float) -> None:
-    """Compare the calls with the time."""
+@then('it makes at most {max_rate:f} calls a second')
+def step_calls(context: Context, max_rate: float) -> None:
+    """Check the rate of calls."""
     rate = context.store.calls / context.store.now_s
-    assert rate <= most, rate
+    assert rate <= max_rate, rate
 
 
-@then('it knows of each change within {most_s:f} seconds')
-def step_known(context: Context, most_s: float) -> None:
-    """Compare how late changes were known."""
-    assert max(context.late_s) <= most_s, max(context.late_s)
+@then('it knows of each change within {limit_s:f} seconds')
+def step_known(context: Context, limit_s: float) -> None:
+    """Check the delay of all changes."""
+    assert max(context.delays_s) <= limit_s, max(context.delays_s)
--- a/features/store_returns.feature
+++ b/features/store_returns.feature
@@ -1,62 +1,62 @@
-Feature: The store returns from an older copy
+Feature: The store is restored from an older snapshot
 
-  It loses what was written since, goes back in its revisions, gives them out
-  again and tells a new era.
+  It loses later writes, its revisions go back and are assigned again, and it
+  reports a new era.
 
-  Rule: Routers serve callers by what was written, not by what was copied
+  Rule: Routers serve callers by what was written, not by what was restored
 
     Background:
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
       And a direct router
 
-    Scenario: A key taken away right after the return is refused
-      # Guards against watches that go on from a revision of another era.
-      When the store returns from a copy, a key is taken away and other writes follow
+    Scenario: A key revoked right after the restore is rejected
+      # Guards against watches that resume from a revision of another era.
+      When the platform restores the store, a key is revoked and other writes follow
       Then a request with that key soon gets 401
 
-    Scenario: A key taken away before the return is not served again
-      # Guards against taking the configuration of the copy for the newest.
-      When a key is taken away and the store returns from a copy made before
+    Scenario: A key revoked before the restore is not served again
+      # Guards against applying the restored configuration as the latest.
+      When a key is revoked and the store is restored to a snapshot from before
       Then no request with that key is answered 200 for 3 s
 
     Scenario: Keys are confirmed again once the configuration is written again
-      # Guards against doubt that never ends.
-      When a key is taken away and the store returns from a copy made before
+      # Guards against entries that stay unverified forever.
+      When a key is revoked and the store is restored to a snapshot from before
       And the operator writes the configuration again
       Then a request with another key soon gets 200
       And a request with that key soon gets 401
 
-    Scenario: A configuration that only the copy holds confirms no key
-      # Guards against serving keys that a lost configuration took away.
-      When a key is taken away and the store returns from a copy made before
+    Scenario: A configuration that is only in the snapshot confirms no key
+      # Guards against serving keys that a lost configuration revoked.
+      When a key is revoked and the store is restored to a snapshot from before
       Then a request with another key soon gets 503
 
-    Scenario: An upstream that had gone is not used again
-      # Guards against entries of upstreams that left after the copy.
-      When upstream "reg-2" goes and the store returns from a copy made before
+    Scenario: A removed upstream is not used again
+      # Guards against entries of upstreams that left after the snapshot.
+      When upstream "reg-2" is removed and the store is restored to an earlier snapshot
       Then no request reaches "reg-2" for 3 s
 
-    Scenario: An upstream that the copy lacks is kept
+    Scenario: An upstream that is missing in the snapshot is kept
       # Guards against dropping upstreams that write their entries again.
-      When upstream "reg-3" comes and the store returns from a copy made before
+      When upstream "reg-3" is registered and the store is restored to an earlier snapshot
       And upstream "reg-3" writes its entry again 1 s later
-      Then "reg-3" was known all the time
+      Then "reg-3" was known throughout
 
-    Scenario: Two returns in a row
-      # Guards against an era that is only compared with the first one.
-      When the store returns from a copy, a key is taken away and other writes follow
-      And the store returns from a copy, a key is taken away and other writes follow
+    Scenario: Two restores in a row
+      # Guards against comparing the era with the first one only.
+      When the platform restores the store, a key is revoked and other writes follow
+      And the platform restores the store, a key is revoked and other writes follow
       Then a request with that key soon gets 401
 
-  Rule: What is followed belongs to one era
+  Rule: Watched entries belong to one era
 
     Background:
-      Given a strict follower of versions that has read version 7 in era 1
+      Given a strict watcher of versions that has read version 7 in era 1
 
-    Scenario Outline: Answers of another era are not joined to what is known
-      # Guards against changes told since a revision of another era.
-      When <answer> of era <era> comes
+    Scenario Outline: Responses of another era are not applied to the entries
+      # Guards against changes since a revision of another era.
+      When <answer> of era <era> arrives
       Then the whole list is read next
 
       Examples:
@@ -65,105 +65,105 @@
         | a change   | 2   |
         | an error   | 2   |
 
-    Scenario: A waiting call is given up when another one tells the new era
-      # Guards against a watch that the store forgot and never answers.
-      When another follower of the store hears of era 2 during a call of 9 s
+    Scenario: A waiting call is cancelled when another one reports a new era
+      # Guards against a watch that the store dropped without a response.
+      When another watcher of the store observes era 2 during a call of 9 s
       Then the call ends within 1 s
       And the whole list is read next
 
-    Scenario: A late list of the era before is not believed
-      # Guards against answers that were long on their way.
-      When another follower of the store hears of era 2
-      And a list of era 1 comes
+    Scenario: A delayed list of the previous era is not applied
+      # Guards against delayed responses.
+      When another watcher of the store observes era 2
+      And a list of era 1 arrives
       Then version 7 is known and not confirmed
       And the whole list is read next
 
-    Scenario: An older version in the copy neither counts nor confirms
-      # Guards against confirming keys by a configuration known to be old.
-      When a list of era 2 with version 5 comes, and again 30 s later
+    Scenario: An earlier version is neither applied nor confirmed
+      # Guards against confirming keys by a superseded configuration.
+      When a list of era 2 with version 5 arrives, and again 30 s later
       Then version 7 is known and not confirmed
-      When version 9 is told in era 2
+      When version 9 is reported in era 2
       Then version 9 is known and confirmed
 
-    Scenario: The same version confirms once lost writes had their time
-      # Guards against a lost configuration that this router never read.
-      When a list of era 2 with version 7 comes
+    Scenario: The same version confirms once lost writes can be repeated
+      # Guards against missing a lost configuration that the router never read.
+      When a list of era 2 with version 7 arrives
       Then version 7 is known and not confirmed
-      When it is followed for 2.5 s more
+      When the watcher runs for 2.5 s more
       Then version 7 is known and confirmed
 
-    Scenario: Eras that rise twice are both noticed
-      # Guards against a second return that is taken for the first one.
-      When a list of era 2 with version 7 comes
-      And no change of era 3 comes
+    Scenario: Two new eras are both detected
+      # Guards against mistaking a second restore for the first one.
+      When a list of era 2 with version 7 arrives
+      And no change of era 3 arrives
       Then the whole list is read next
 
-  Rule: One holder of the lease at a time, across returns
+  Rule: One holder of the lease at a time, across restores
 
     Background:
       Given a store of objects in era 1
 
-    Scenario: A lease that the copy shows as free is waited out
-      # Guards against two routers that order in turns.
-      Given router "a" held and released the lease before the copy
+    Scenario: A lease that is free in the snapshot has to expire first
+      # Guards against two routers that send orders alternately.
+      Given router "a" held and released the lease before the snapshot
       And router "b" holds the lease
-      When the store returns from the copy
-      Then router "a" takes the lease after 2.2 s and not before
-      And "a" counts another holder as acting until the return
+      When the platform restores the store from the snapshot
+      Then router "a" acquires the lease after 2.2 s and not earlier
+      And "a" assumes that another holder acted until the restore
 
-    Scenario: A lease that the copy lacks is waited out
-      # Guards against two routers that order in turns.
-      Given router "b" holds a lease that is no part of the copy
+    Scenario: A lease that is missing in the snapshot has to expire first
+      # Guards against two routers that send orders alternately.
+      Given router "b" holds a lease that is not in the snapshot
       And router "a" knows that it is held
-      When the store returns from the copy
-      Then router "a" takes the lease after 2.2 s and not before
+      When the platform restores the store from the snapshot
+      Then router "a" acquires the lease after 2.2 s and not earlier
 
-    Scenario: The own record in the copy is waited out too
-      # Guards against a holder that was replaced after the copy.
-      Given router "a" held the lease before the copy and did not release it
+    Scenario: The own lease in the snapshot has to expire first too
+      # Guards against a holder that was replaced after the snapshot.
+      Given router "a" held the lease before the snapshot and did not release it
       And router "b" holds the lease
-      When the store returns from the copy
-      Then router "a" takes the lease after 2.2 s and not before
+      When the platform restores the store from the snapshot
+      Then router "a" acquires the lease after 2.2 s and not earlier
 
-    Scenario: A renewal that meets the same revision in a new era is no lease
-      # Guards against conditions that hold by chance in a new era.
+    Scenario: A renewal at the same revision in a new era is not a lease
+      # Guards against version checks that succeed by chance in a new era.
       Given router "b" holds the lease
-      When the store returns and another write has the same revision
-      Then router "b" renews the lease without effect on its own belief
+      When the platform restores the store and another write has the same revision
+      Then router "b" renews the lease and does not consider it held
 
-    Scenario: A write whose answer was lost is not made again in a new era
+    Scenario: A write without a response is not repeated in a new era
       # Guards against overwriting the lease of a new holder.
       Given router "b" holds the lease
-      When the answer to a renewal is lost and the store returns
+      When the response to a renewal is lost and the store is restored
       Then router "b" does not hold the lease
-      And the store has its record of the copy
+      And the store has the record from the snapshot
 
-    Scenario: Fencing numbers grow over returns
-      # Guards against an order that upstreams take for an older one.
+    Scenario: Fencing numbers grow across restores
+      # Guards against orders that upstreams reject as superseded.
       Given router "b" holds the lease
-      When the store returns from the copy twice and "b" takes the lease each time
+      When the platform restores the store from the snapshot twice and "b" acquires the lease
       Then each fencing number is higher than the one before
 
-  Rule: Routers write again what they had written
+  Rule: Routers repeat their lost writes
 
     Background:
       Given a store of objects in era 1
 
-    Scenario: Routers that the copy lacks are counted on and write again
+    Scenario: Routers missing in the snapshot still count and write again
       # Guards against shares that grow while entries are missing.
-      Given 3 routers counted each other after the copy
-      When the store returns from the copy
+      Given 3 routers counted each other after the snapshot
+      When the platform restores the store from the snapshot
       Then each counts 3 routers while all write their entries again
       And the store has entries of 3 routers
 
     Scenario: Renewals count although versions went back
-      # Guards against routers that are taken for gone after a return.
-      Given 3 routers counted each other before the copy and were renewed often
-      When the store returns from the copy
+      # Guards against routers that count as terminated after a restore.
+      Given 3 routers counted each other before the snapshot and renewed often
+      When the platform restores the store from the snapshot
       Then each counts 3 routers for 60 s
 
     Scenario: Records of crashes are written again
-      # Guards against requests that crash upstreams being let in again.
-      Given a router that wrote a record of a crash after the copy
-      When the store returns from the copy
+      # Guards against admitting requests again that crash upstreams.
+      Given a router that wrote a record of a crash after the snapshot
+      When the platform restores the store from the snapshot
       Then the store has the record again
--- a/packages/daemon/src/lacewing_daemon/direct/_collection_watcher.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_collection_watcher.py
@@ -189,47 +189,47 @@
         self._calls.count(self._name, self._call_reason())
         wait_s = self._next_wait_s()
         sent_s = self._clock()
-        answer = await self._call_store(wait_s)
-        self._last_had_changes = isinstance(answer, Changes) and bool(
-            answer.changed
+        response = await self._call_store(wait_s)
+        self._last_had_changes = isinstance(response, Changes) and bool(
+            response.changed
         )
-        if answer is None:
+        if response is None:
             return 0.0
-        self._eras.observe(answer.era)
-        if isinstance(answer, StoreError):
-            self._handle_failure(answer, sent_s)
+        self._eras.observe(response.era)
+        if isinstance(response, StoreError):
+            self._handle_failure(response, sent_s)
             return self._backoff.next_s()
-        if self._is_from_other_era(answer):
+        if self._is_from_other_era(response):
             self._revision = None
             return self._backoff.next_s()
         self._backoff.reset()
-        if isinstance(answer, HistoryExpired):
+        if isinstance(response, HistoryExpired):
             _log.info(
                 'Reads a collection anew.',
                 collection=self._name,
-                reason=answer.message,
+                reason=response.message,
             )
             self._age.mark_unobserved_since(self._clock() - self._watch_gap_s)
             self._revision = None
             return 0.0
         self._handle_success()
-        self._last_response = ResponseStats(answer.size, answer.took_s)
-        self._age.note_response(sent_s, wait_s, isinstance(answer, Listing))
-        self._apply(answer)
+        self._last_response = ResponseStats(response.size, response.took_s)
+        self._age.note_response(sent_s, wait_s, isinstance(response, Listing))
+        self._apply(response)
         self._age.mark_observed(sent_s)
-        self.confirm(answer, sent_s, wait_s)
-        if isinstance(answer, Listing):
-            self._last_transfer_s = answer.took_s
-        elif answer.changed:
+        self.confirm(response, sent_s, wait_s)
+        if isinstance(response, Listing):
+            self._last_transfer_s = response.took_s
+        elif response.changed:
             # Changes come in series. A call for each change would cost
             # several times as many calls as batching them does.
-            self._last_transfer_s = answer.took_s
+            self._last_transfer_s = response.took_s
             return self._batch_delay_s
         return 0.0
 
     def confirm(
         self,
-        answer: Listing[T] | Changes[T],
+        response: Listing[T] | Changes[T],
         sent_s: float,
         wait_s: float | None = None,
     ) -> None:
@@ -252,9 +252,9 @@
         if wait_s is None:
             wait_s = self._wait_s
         confirmed_s = sent_s
-        if isinstance(answer, Changes):
+        if isinstance(response, Changes):
             confirmed_s -= self._watch_gap_s
-            if not answer.changed and not answer.unreadable:
+            if not response.changed and not response.unreadable:
                 # No more than the time it can have watched: a response may
                 # have been delayed, or have come before the wait was over.
                 confirmed_s += min(wait_s, self._clock() - sent_s)
@@ -320,18 +320,18 @@
         return self._eras.current not in (0, self._era)
 
     def _is_from_other_era(
-        self, answer: Listing[T] | Changes[T] | HistoryExpired
+        self, response: Listing[T] | Changes[T] | HistoryExpired
     ) -> bool:
         """Return whether a response can't be applied to the entries.
 
         A delayed list may be from an era that has ended, and changes count
         from a revision that is valid in one era only.
         """
-        if not answer.era:
+        if not response.era:
             return False
-        if isinstance(answer, Changes):
-            return answer.era != self._era
-        return answer.era < self._eras.current
+        if isinstance(response, Changes):
+            return response.era != self._era
+        return response.era < self._eras.current
 
     def _call_reason(self) -> CallReason:
         if self._revision is None:
@@ -375,23 +375,25 @@
             return await self._collection.read()
         return await self._collection.changes(self._revision, wait_s)
 
-    def _apply(self, answer: Listing[T] | Changes[T]) -> None:
-        self._revision = answer.revision
-        self._last_revision = answer.revision
-        if isinstance(answer, Changes):
-            self._observed.observe(answer.revision, self._clock())
+    def _apply(self, response: Listing[T] | Changes[T]) -> None:
+        self._revision = response.revision
+        self._last_revision = response.revision
+        if isinstance(response, Changes):
+            self._observed.observe(response.revision, self._clock())
             self._cache.apply_changes(
-                self._new_changes(answer), answer.unreadable
+                self._new_changes(response), response.unreadable
             )
             self._may_repeat_changes = False
             return
-        self._observed.reset(answer.revision, self._clock())
-        era = answer.era or self._eras.current
+        self._observed.reset(response.revision, self._clock())
+        era = response.era or self._eras.current
         restored = self._era is not None and era != self._era
         if restored:
             self._start_era()
         self._era = era
-        self._cache.apply_snapshot(answer.entries, answer.unreadable, restored)
+        self._cache.apply_snapshot(
+            response.entries, response.unreadable, restored
+        )
         self._may_repeat_changes = False
 
     def _start_era(self) -> None:
@@ -403,7 +405,7 @@
             self._confirmable_from_s = self._clock() + REWRITE_TIMEOUT_S
 
     def _new_changes(
-        self, answer: Changes[T]
+        self, response: Changes[T]
     ) -> Iterable[tuple[str, T | None]]:
         """Return the changes to apply, in order.
 
@@ -413,8 +415,8 @@
         the last change of each entry is applied.
         """
         if not self._may_repeat_changes:
-            return answer.changed
-        return dict(answer.changed).items()
+            return response.changed
+        return dict(response.changed).items()
 
     def _handle_failure(self, error: StoreError, sent_s: float) -> None:
         # A second truncated response may contain changes that are larger
--- a/packages/daemon/src/lacewing_daemon/direct/_entry_cache.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_entry_cache.py
@@ -48,7 +48,7 @@
         drop_unreadable: bool,
     ) -> None:
         self._collection = collection
-        self._restored = restored_entries
+        self._restored_entries = restored_entries
         self._clock = clock
         self._retain_lapsed = retain_lapsed
         self._drop_unreadable = drop_unreadable
@@ -71,7 +71,7 @@
     @property
     def any_unverified(self) -> bool:
         """Return whether any entry was restored to an earlier value."""
-        return self._restored.any_unverified
+        return self._restored_entries.any_unverified
 
     def on_change(self, callback: OnChange[T]) -> None:
         """Register a callback for the name and value (None: removed)."""
@@ -89,7 +89,7 @@
         """Apply changes in order."""
         for name, value in changed:
             self._unreadable.discard(name)
-            self._restored.mark_verified(name)
+            self._restored_entries.mark_verified(name)
             self._set(name, value)
         self._unreadable.update(unreadable)
         self._skip_unreadable(unreadable)
@@ -103,22 +103,26 @@
         """Apply a whole list; ``restored``: the first one of an era."""
         self._unreadable = set(unreadable)
         if restored:
-            self._restored.start_era(listed, self._entries, self._clock())
-        self._restored.discard_missing(listed)
+            self._restored_entries.start_era(
+                listed, self._entries, self._clock()
+            )
+        self._restored_entries.discard_missing(listed)
         for name in list(self._entries):
             if name in listed or name in unreadable:
                 continue
             self._set(name, None)
         for name, value in listed.items():
-            if self._restored.is_unverified(name, value):
+            if self._restored_entries.is_unverified(name, value):
                 continue
-            self._restored.mark_verified(name)
+            self._restored_entries.mark_verified(name)
             self._set(name, value)
         self._skip_unreadable(unreadable)
 
     def accept_expired(self) -> None:
         """Apply restored entries that stayed unverified until the timeout."""
-        for name, value in self._restored.pop_expired(self._clock()).items():
+        for name, value in self._restored_entries.pop_expired(
+            self._clock()
+        ).items():
             self._set(name, value)
 
     def _skip_unreadable(self, unreadable: tuple[str, ...]) -> None:
@@ -159,7 +163,7 @@
             timer.cancel()
         value = self._entries.pop(name, None)
         if value is not None:
-            self._restored.record_removed(name, value)
+            self._restored_entries.record_removed(name, value)
         self._notify(name, None)
 
     def _notify(self, name: str, value: T | None) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/_router_count.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router_count.py
@@ -127,16 +127,16 @@
         value = f'{uuid4().hex} {self._address}'.strip()
         if self._is_own_version_unknown:
             await self._read_own_version()
-        answer = await self._store.put(
+        response = await self._store.put(
             ROUTERS, self._name, value.encode(), self._version
         )
-        if isinstance(answer, StoredObject):
-            self._version = answer.version
+        if isinstance(response, StoredObject):
+            self._version = response.version
             self._renewed_s = self._clock()
             return
-        if answer.fault is StoreFault.CONFLICT:
+        if response.fault is StoreFault.CONFLICT:
             await self._read_own_version()
-        if answer.fault is StoreFault.NOT_FOUND:
+        if response.fault is StoreFault.NOT_FOUND:
             self._version = MUST_NOT_EXIST
 
     async def refresh(self) -> None:
--- a/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_store_calls.py
@@ -100,34 +100,34 @@
     ) -> tuple[StoredObject, ...] | StoreError:
         """Read all objects of a kind; they may be seconds old."""
         self._calls.count(kind, CallReason.PEEK)
-        answer = await self._objects.peek_all(kind)
-        if isinstance(answer, StoreError):
-            self._eras.observe(answer.era)
-            return answer
-        for found in answer:
+        response = await self._objects.peek_all(kind)
+        if isinstance(response, StoreError):
+            self._eras.observe(response.era)
+            return response
+        for found in response:
             self._eras.observe(found.era)
-        return answer
+        return response
 
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
         """Write an object if its version is ``expect``."""
         self._calls.count(kind, CallReason.WRITE)
-        answer = await self._objects.put(kind, name, value, expect)
-        return self._observe_era(answer)
+        response = await self._objects.put(kind, name, value, expect)
+        return self._observe_era(response)
 
     async def delete(
         self, kind: str, name: str, expect: int
     ) -> None | StoreError:
         """Delete an object if its version is ``expect``."""
         self._calls.count(kind, CallReason.WRITE)
-        answer = await self._objects.delete(kind, name, expect)
-        if answer is not None:
-            self._eras.observe(answer.era)
-        return answer
+        response = await self._objects.delete(kind, name, expect)
+        if response is not None:
+            self._eras.observe(response.era)
+        return response
 
     def _observe_era(
-        self, answer: StoredObject | StoreError
+        self, response: StoredObject | StoreError
     ) -> StoredObject | StoreError:
-        self._eras.observe(answer.era)
-        return answer
+        self._eras.observe(response.era)
+        return response
