--- a/packages/daemon/src/lacewing_daemon/direct/_cluster_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cluster_state.py
@@ -1,4 +1,4 @@
-"""Hold what one router knows of the deployment; decisions read it."""
+"""Hold one router's view of the deployment, on which decisions are based."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -34,58 +34,65 @@
 from lacewing_daemon.direct._weights_releases import superseded_for_s
 from lacewing_daemon.direct._weights_releases import WeightsRelease
 
-# What the store of kept KV cache evicts is not told; parts saved longer ago
+# The KV store does not report evictions, so parts saved longer ago than this
 # are saved again.
-SAVED_S = 20.0
-SAVED_PARTS = 4096
-# The part of the time for new weights after which none begins on older ones.
+SAVED_PART_TTL_S = 20.0
+MAX_SAVED_PARTS = 4096
+# The fraction of the time limit for new weights after which no request is
+# started on superseded ones.
 OLD_WEIGHTS_FRACTION = 0.75
-# A router that hears of the store again still sends to engines with older
-# weights for so long; they may be the only ones.
-GAP_GRACE_S = 2.5
-# So does one that has just started. The platform counts it as one that runs
-# 3 s after its process was started; 0.7 s of these are for requests that wait
-# at their engine. Most have read what is named 0.8 s after the start.
+# After reconnecting to the store, a router still uses engines with superseded
+# weights for this long; there may be no others.
+RECONNECT_GRACE_S = 2.5
+# The same after a start. The platform counts a router as running 3 s after its
+# process was started; 0.7 s of these are reserved for requests queued at their
+# engine. Most routers have read the released versions 0.8 s after the start.
 START_GRACE_S = 1.5
-START_USES_S = 2.3
-# Upstreams whose entries are gone that are remembered; what an earlier start
-# says late comes within seconds, and at most some tens go in that time.
-GONE_KEPT = 256
-
-_MS = 1000.0
-_ESTIMATED = ('prefill_tokens_per_ms', 'step_ms', 'load_ms', 'usual_read_ms')
+START_OLD_WEIGHTS_S = 2.3
+# How many upstreams are remembered after their entries were removed. Late
+# messages of an earlier incarnation arrive within seconds, and at most some
+# tens of upstreams are removed in that time.
+MAX_REMOVED_UPSTREAMS = 256
+
+_MS_PER_S = 1000.0
+_ESTIMATED_FIGURES = (
+    'prefill_tokens_per_ms',
+    'step_ms',
+    'load_ms',
+    'usual_read_ms',
+)
 
 _log = get_log(Part.PLACEMENT)
 _platform_log = get_log(Part.PLATFORM)
 
 
 class ReleaseSource(Enum):
-    """Tell how a router learnt that weights are named."""
+    """Name the source from which a router learned of a release."""
 
     STORE = 'store'
     UPSTREAM = 'upstream'
 
 
 @dataclass(frozen=True)
-class _LoadTimes:
-    """Hold the load times computed last, and what for."""
+class _LoadSchedule:
+    """Hold the load times computed last, and for which version."""
 
     version: int
     times: Mapping[str, float]
 
 
 @dataclass(frozen=True)
-class _PolicySeen:
-    """Hold a policy with estimates and when it was worked out."""
+class _CachedPolicy:
+    """Hold a policy with estimates and when it was computed."""
 
     policy: LoadPolicy
-    at_s: float
+    computed_s: float
 
 
 class ClusterState:
-    """Hold configuration, upstreams, named weights and kept parts.
+    """Hold configuration, upstreams, released weights and cached parts.
 
-    ``clock`` counts seconds, those of a suspended VM included.
+    ``clock`` counts seconds, including those while the VM is suspended.
     """
 
     def __init__(
@@ -97,157 +104,162 @@
         self._bounds = bounds
         self._policy = policy
         self._clock = clock
-        self._routers = DEFAULT_ROUTER_COUNT
-        self._directory: RoutingConfig | None = None
-        self._states: dict[str, UpstreamState] = {}
-        self._gone: OrderedDict[str, UpstreamState] = OrderedDict()
+        self._router_count = DEFAULT_ROUTER_COUNT
+        self._routing_config: RoutingConfig | None = None
+        self._upstreams: dict[str, UpstreamState] = {}
+        self._removed_upstreams: OrderedDict[str, UpstreamState] = (
+            OrderedDict()
+        )
         self._by_service: dict[str, list[UpstreamState]] = {}
-        self._paces: dict[str, SilenceHistory] = {}
+        self._silence_histories: dict[str, SilenceHistory] = {}
         self._estimates: dict[str, Estimates] = {}
-        self._policies: dict[str, _PolicySeen] = {}
+        self._policies: dict[str, _CachedPolicy] = {}
         self._budgets: dict[str, RetryBudget] = {}
-        self._namings: dict[str, tuple[WeightsRelease, ...]] = {}
-        self._told_s: dict[str, float] = {}
-        self._load_times: dict[str, _LoadTimes] = {}
-        self._saved: OrderedDict[tuple[str, str], float] = OrderedDict()
-        self._lines = LineBudget(clock())
-        self._started_s: float | None = None
+        self._releases: dict[str, tuple[WeightsRelease, ...]] = {}
+        self._learned_s: dict[str, float] = {}
+        self._load_schedules: dict[str, _LoadSchedule] = {}
+        self._saved_parts: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._line_budget = LineBudget(clock())
+        self._process_started_s: float | None = None
 
     @property
     def routing_config(self) -> RoutingConfig | None:
-        """Return the configuration in force, None before the first."""
-        return self._directory
+        """Return the active configuration, None before the first."""
+        return self._routing_config
 
     @property
     def bounds(self) -> Bounds:
-        """Return what the deployment promises."""
+        """Return the guarantees of the deployment."""
         return self._bounds
 
     @property
     def old_weights_limit_s(self) -> float:
-        """Return for how long after a naming older weights are used."""
+        """Return for how long after a release superseded weights are used."""
         return self._bounds.weights_s * OLD_WEIGHTS_FRACTION
 
     @property
     def router_count(self) -> int:
-        """Return the number of routers that live, this one included."""
-        return self._routers
+        """Return the number of live routers, including this one."""
+        return self._router_count
 
     @property
     def policy(self) -> LoadPolicy:
-        """Return the figures that are configured."""
+        """Return the policy as configured."""
         return self._policy
 
     def policy_for(self, service: str) -> LoadPolicy:
-        """Return the figures that decisions on a service are made by.
+        """Return the policy for decisions on a service.
 
-        What its engines have shown of late stands in place of what is
-        configured.
+        Recent estimates of its engines replace the configured figures.
         """
         now_s = self._clock()
-        known = self._policies.get(service)
-        if known is not None and now_s - known.at_s < ESTIMATE_INTERVAL_S:
-            return known.policy
+        cached = self._policies.get(service)
+        if (
+            cached is not None
+            and now_s - cached.computed_s < ESTIMATE_INTERVAL_S
+        ):
+            return cached.policy
         policy = apply_estimates(self._policy, self.estimates(service), now_s)
-        self._policies[service] = _PolicySeen(policy, now_s)
-        for figure in _ESTIMATED:
+        self._policies[service] = _CachedPolicy(policy, now_s)
+        for figure in _ESTIMATED_FIGURES:
             gauge = ENGINE_ESTIMATE.labels(service, figure)
             gauge.set(getattr(policy, figure))
         return policy
 
     def estimates(self, service: str) -> Estimates:
-        """Return what the engines of a service have shown."""
+        """Return the estimates for the engines of a service."""
         return self._estimates.setdefault(service, Estimates())
 
     @property
     def upstreams(self) -> Mapping[str, UpstreamState]:
         """Return all known upstreams by id."""
-        return self._states
+        return self._upstreams
 
     @property
     def released_weights(self) -> tuple[ReleasedWeights, ...]:
-        """Return the version named last of each model."""
-        found = []
-        for model, namings in self._namings.items():
-            found.append(ReleasedWeights(model, namings[-1].version))
-        return tuple(found)
+        """Return the version of each model that was released last."""
+        weights = []
+        for model, releases in self._releases.items():
+            weights.append(ReleasedWeights(model, releases[-1].version))
+        return tuple(weights)
 
     def upstreams_of(self, service: str) -> list[UpstreamState]:
         """Return the upstreams of a service."""
         return self._by_service.get(service, [])
 
     def upstream(self, upstream_id: str) -> UpstreamState | None:
-        """Return what is known of one upstream."""
-        return self._states.get(upstream_id)
+        """Return the state of one upstream, None if it is unknown."""
+        return self._upstreams.get(upstream_id)
 
     def is_routed(self, upstream: Upstream) -> bool:
-        """Tell whether an upstream is of a service and stays in it.
+        """Return whether an upstream belongs to a service and is not leaving.
 
-        An entry may name a service that no configuration holds. Nothing is
-        known of what is at its address.
+        An entry may name a service that is not configured; it is unknown what
+        is at its address.
         """
         if upstream.leaving:
             return False
-        directory = self._directory
-        return directory is None or upstream.service in directory.services
+        config = self._routing_config
+        return config is None or upstream.service in config.services
 
     def models(self, upstream: Upstream) -> tuple[str, ...]:
-        """Return the models that the configuration has an upstream serve."""
-        if self._directory is None:
+        """Return the models that the configuration assigns to an upstream."""
+        if self._routing_config is None:
             return ()
-        service = self._directory.services.get(upstream.service)
+        service = self._routing_config.services.get(upstream.service)
         if service is None or service.engine is None:
             return ()
         return service.engine.models
 
     def current_release(self, model: str) -> ReleaseAge:
-        """Return the version named last for a model and how long ago.
+        """Return the latest released version of a model and its age.
 
-        Counted from when this router was told, as all of them are at nearly
-        the same time; when it was named at the earliest is in ``namings``.
+        The age counts from when this router learned of the release, which is
+        nearly the same time at all routers; ``releases`` counts from the
+        earliest time at which it may have been released.
         """
-        namings = self._namings.get(model)
-        if not namings:
+        releases = self._releases.get(model)
+        if not releases:
             return ReleaseAge(0, 0.0)
         return ReleaseAge(
-            namings[-1].version, self._clock() - self._told_s[model]
+            releases[-1].version, self._clock() - self._learned_s[model]
         )
 
     def releases(self, model: str) -> tuple[ReleaseAge, ...]:
-        """Return the namings of a model that matter, the newest last."""
+        """Return the relevant releases of a model, the latest last."""
         now_s = self._clock()
-        found = []
-        for naming in self._namings.get(model, ()):
-            age_s = now_s - naming.released_s
-            found.append(ReleaseAge(naming.version, age_s))
-        return tuple(found)
+        ages = []
+        for release in self._releases.get(model, ()):
+            age_s = now_s - release.released_s
+            ages.append(ReleaseAge(release.version, age_s))
+        return tuple(ages)
 
     def load_schedule(self, model: str) -> Mapping[str, float]:
-        """Return when each engine of a model loads, after the naming."""
+        """Return when each engine of a model loads, in s after the release."""
         version = self.current_release(model).version
-        known = self._load_times.get(model)
-        if known is not None and known.version == version:
-            return known.times
+        cached = self._load_schedules.get(model)
+        if cached is not None and cached.version == version:
+            return cached.times
         engines = {}
-        for upstream_id, state in self._states.items():
+        for upstream_id, state in self._upstreams.items():
             loaded = state.weights(model)
             if loaded is not None and self.is_routed(state.upstream):
                 engines[upstream_id] = loaded
-        # Computed once for a version: what loads meanwhile must not change
-        # the order of the rest.
+        # Computed once per version: engines that load meanwhile must not
+        # change the order of the others.
         times = load_schedule(model, version, engines, self._policy)
-        self._load_times[model] = _LoadTimes(version, times)
+        self._load_schedules[model] = _LoadSchedule(version, times)
         return times
 
     def nearly_overdue_in_s(self, model: str, version: int) -> float:
-        """Return the time until weights are nearly overdue.
+        """Return the time until weights are close to the limit.
 
-        Negative once they are, infinite for the newest.
+        Negative once they are, infinite for the latest version.
         """
-        lacks_s = superseded_for_s(self.releases(model), version)
-        if lacks_s <= 0:
+        superseded_s = superseded_for_s(self.releases(model), version)
+        if superseded_s <= 0:
             return float('inf')
-        return nearly_overdue_after_s(self.old_weights_limit_s) - lacks_s
+        return nearly_overdue_after_s(self.old_weights_limit_s) - superseded_s
 
     def retry_budget(self, service: Service) -> RetryBudget:
         """Return the retry budget of a service."""
@@ -262,49 +274,49 @@
         return budget
 
     def is_saved(self, cache_salt: str, part_id: str, now_s: float) -> bool:
-        """Tell whether the store of KV cache was sent a part lately."""
-        saved_s = self._saved.get((cache_salt, part_id))
-        return saved_s is not None and now_s - saved_s < SAVED_S
+        """Return whether a part was sent to the KV store recently."""
+        saved_s = self._saved_parts.get((cache_salt, part_id))
+        return saved_s is not None and now_s - saved_s < SAVED_PART_TTL_S
 
     def mark_saved(self, cache_salt: str, part_id: str, now_s: float) -> None:
-        """Note that a part was sent to the store of KV cache."""
+        """Record that a part was sent to the KV store."""
         key = (cache_salt, part_id)
-        self._saved[key] = now_s
-        self._saved.move_to_end(key)
-        if len(self._saved) > SAVED_PARTS:
-            self._saved.popitem(last=False)
+        self._saved_parts[key] = now_s
+        self._saved_parts.move_to_end(key)
+        if len(self._saved_parts) > MAX_SAVED_PARTS:
+            self._saved_parts.popitem(last=False)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Use other bounds from now on."""
+        """Replace the bounds and reset the retry budgets."""
         self._bounds = bounds
         self._budgets.clear()
 
     def set_process_start(self, at_s: float) -> None:
-        """Take when the process was started, on the clock given."""
-        self._started_s = at_s
+        """Set when the process was started, in time of ``clock``."""
+        self._process_started_s = at_s
 
     def set_router_count(self, count: int) -> None:
-        """Take how many routers live."""
-        self._routers = count
+        """Set the number of live routers."""
+        self._router_count = count
 
     def update_routing_config(self, value: RoutingConfig) -> bool:
-        """Take a configuration; false if it is not newer."""
-        current = self._directory
+        """Apply a configuration; false if it is not a later version."""
+        current = self._routing_config
         if current is not None and value.version <= current.version:
             return False
-        self._directory = value
+        self._routing_config = value
         return True
 
     def update_upstream(self, name: str, value: Upstream | None) -> None:
-        """Take an upstream's entry; None once it is gone.
+        """Apply an upstream's entry; None once it is removed.
 
-        A later start under the same id is another upstream of which nothing
-        is known; what an earlier one says changes nothing. An entry that
-        tells no start although one is known of the id was written by
-        somebody else, and names no upstream.
+        A later incarnation under the same id is a new upstream with no known
+        state; an entry of an earlier incarnation is ignored. An entry without
+        an incarnation, where one is known of the id, was written by another
+        writer and counts as removed.
         """
-        state = self._states.get(name)
-        before = self._gone.get(name) if state is None else state
+        state = self._upstreams.get(name)
+        before = self._removed_upstreams.get(name) if state is None else state
         if value is not None and before is not None:
             known_ms = before.upstream.started_ms
             if 0 < value.started_ms < known_ms:
@@ -313,7 +325,7 @@
                 value = None
             elif value.started_ms > known_ms:
                 before.mark_replaced()
-                self._started_again(value)
+                self._apply_restart(value)
         if state is not None and value is not None and not state.replaced:
             self._update(state, value)
             return
@@ -321,10 +333,12 @@
             self._remove(state)
         if value is None:
             return
-        self._gone.pop(name, None)
+        self._removed_upstreams.pop(name, None)
         if before is None or before.replaced:
-            pace = self._paces.setdefault(value.service, SilenceHistory())
-            self._add(UpstreamState(value, pace))
+            history = self._silence_histories.setdefault(
+                value.service, SilenceHistory()
+            )
+            self._add(UpstreamState(value, history))
             return
         before.update(value)
         self._add(before)
@@ -332,7 +346,7 @@
     def apply_report(
         self, state: UpstreamState, report: UpstreamReport
     ) -> bool:
-        """Take an upstream's report; false if it is of another start."""
+        """Apply an upstream's report; false if of another incarnation."""
         upstream = state.upstream
         if state.replaced:
             return False
@@ -340,7 +354,7 @@
             if report.started_ms < upstream.started_ms:
                 return False
             if report.started_ms > upstream.started_ms:
-                if self._states.get(upstream.upstream_id) is state:
+                if self._upstreams.get(upstream.upstream_id) is state:
                     self.update_upstream(
                         upstream.upstream_id,
                         replace(
@@ -362,32 +376,35 @@
         version: int,
         max_age_s: float = 0.0,
     ) -> None:
-        """Take the version of weights that an upstream told.
+        """Apply the version of weights that an upstream reported.
 
-        A version that one of them has was named, also if this router is cut
-        from the store and could not read it.
+        A version that an upstream has was released, even if this router is
+        disconnected from the store and could not read the release.
         """
-        self._learn_load(state, model, version)
+        self._record_load_time(state, model, version)
         state.update_weights(model, version)
-        named = ReleasedWeights(model, version)
-        self.record_release(named, max_age_s, ReleaseSource.UPSTREAM)
+        released = ReleasedWeights(model, version)
+        self.record_release(released, max_age_s, ReleaseSource.UPSTREAM)
 
-    def _learn_load(
+    def _record_load_time(
         self, state: UpstreamState, model: str, version: int
     ) -> None:
-        """Learn from an engine's new weights how long after its turn."""
-        had = state.weights(model)
-        if had is None or had >= version:
+        """Record how long after its turn an engine has new weights."""
+        loaded = state.weights(model)
+        if loaded is None or loaded >= version:
             return
-        plan = self._load_times.get(model)
-        named = self.current_release(model)
-        if plan is None or not plan.version == version == named.version:
+        schedule = self._load_schedules.get(model)
+        current = self.current_release(model)
+        if (
+            schedule is None
+            or not schedule.version == version == current.version
+        ):
             return
-        turn_s = plan.times.get(state.upstream.upstream_id)
+        turn_s = schedule.times.get(state.upstream.upstream_id)
         if turn_s is None:
             return
         self.estimates(state.upstream.service).record_load(
-            (named.age_s - turn_s) * _MS, self._clock()
+            (current.age_s - turn_s) * _MS_PER_S, self._clock()
         )
 
     def record_release(
@@ -396,58 +413,60 @@
         max_age_s: float = 0.0,
         source: ReleaseSource = ReleaseSource.STORE,
     ) -> None:
-        """Take a version that was named at some time since ``max_age_s`` ago.
+        """Record a version released at some time since ``max_age_s`` ago.
 
-        Infinite for one that was there when this process started.
+        ``max_age_s`` is infinite for a version that was there when this
+        process started.
         """
-        namings = self._namings.get(value.model, ())
-        known = namings[-1].version if namings else 0
-        if value.version <= known:
+        releases = self._releases.get(value.model, ())
+        known_version = releases[-1].version if releases else 0
+        if value.version <= known_version:
             return
         now_s = self._clock()
-        # Counted from now, versions of which this router did not hear at
-        # once would get more time than they have. Other routers may have
-        # refused older weights for long; this one joins them soon.
-        first = max_age_s == float('inf')
-        grace_s = self._start_grace_s(now_s) if first else GAP_GRACE_S
-        most_s = max(0.0, self.old_weights_limit_s - grace_s)
-        since_s = now_s - min(max_age_s, most_s)
-        if namings:
-            since_s = max(since_s, namings[-1].released_s)
-        self._namings[value.model] = add_release(
-            namings,
-            WeightsRelease(value.version, since_s),
+        # If the age counted from now, superseded weights would be used for
+        # longer than allowed whenever this router learns of a release late.
+        # Other routers may have refused those weights for long, so this one
+        # follows them soon.
+        at_start = max_age_s == float('inf')
+        grace_s = self._start_grace_s(now_s) if at_start else RECONNECT_GRACE_S
+        max_s = max(0.0, self.old_weights_limit_s - grace_s)
+        released_s = now_s - min(max_age_s, max_s)
+        if releases:
+            released_s = max(released_s, releases[-1].released_s)
+        self._releases[value.model] = add_release(
+            releases,
+            WeightsRelease(value.version, released_s),
             self.old_weights_limit_s,
         )
-        # Loads are not brought forward for a doubt; at a start others may
-        # have had theirs.
-        self._told_s[value.model] = since_s if first else now_s
-        # A line that is left out shows in the next one, by `before`.
-        if self._lines.allow(True, now_s):
+        # Loads are not brought forward for an uncertain release time; at a
+        # start, other engines may already have had their turns.
+        self._learned_s[value.model] = released_s if at_start else now_s
+        # The next line shows by `before` that lines were dropped.
+        if self._line_budget.allow(True, now_s):
             _log.info(
                 'Weights are named.',
                 model=value.model,
                 version=value.version,
-                before=known,
-                before_start=first,
+                before=known_version,
+                before_start=at_start,
                 learnt=source.value,
-                age_ms=int((now_s - since_s) * _MS),
+                age_ms=int((now_s - released_s) * _MS_PER_S),
             )
 
     def _start_grace_s(self, now_s: float) -> float:
-        """Return for how long older weights are used after a start.
+        """Return for how long superseded weights are used after a start.
 
-        Counted from reading alone, a process that takes long to start would
-        use them when the platform counts it as one that runs.
+        If it counted from the first read alone, a process that starts slowly
+        would use them when the platform already counts it as running.
         """
-        if self._started_s is None:
+        if self._process_started_s is None:
             return START_GRACE_S
-        left_s = self._started_s + START_USES_S - now_s
+        left_s = self._process_started_s + START_OLD_WEIGHTS_S - now_s
         return min(START_GRACE_S, max(0.0, left_s))
 
     def _add(self, state: UpstreamState) -> None:
         upstream = state.upstream
-        self._states[upstream.upstream_id] = state
+        self._upstreams[upstream.upstream_id] = state
         self._by_service.setdefault(upstream.service, []).append(state)
 
     def _update(self, state: UpstreamState, value: Upstream) -> None:
@@ -456,29 +475,34 @@
         if state.upstream.service == service:
             return
         self._by_service[service].remove(state)
-        listed = self._by_service.setdefault(state.upstream.service, [])
-        listed.append(state)
+        members = self._by_service.setdefault(state.upstream.service, [])
+        members.append(state)
 
     def _remove(self, state: UpstreamState) -> None:
         upstream = state.upstream
-        del self._states[upstream.upstream_id]
+        del self._upstreams[upstream.upstream_id]
         self._by_service[upstream.service].remove(state)
-        self._gone[upstream.upstream_id] = state
-        if len(self._gone) > GONE_KEPT:
-            self._gone.popitem(last=False)
+        self._removed_upstreams[upstream.upstream_id] = state
+        if len(self._removed_upstreams) > MAX_REMOVED_UPSTREAMS:
+            self._removed_upstreams.popitem(last=False)
 
-    def _started_again(self, upstream: Upstream) -> None:
-        """Forget what is kept by the id; an engine without runs loads now."""
+    def _apply_restart(self, upstream: Upstream) -> None:
+        """Let a restarted engine load at once, as it has no open runs."""
         name = upstream.upstream_id
         _platform_log.info(
             'An upstream has started again.',
             upstream=name,
             started_ms=upstream.started_ms,
         )
-        for model, known in self._load_times.items():
-            named = self.current_release(model)
-            if name not in known.times or known.version != named.version:
+        for model, schedule in self._load_schedules.items():
+            current = self.current_release(model)
+            if (
+                name not in schedule.times
+                or schedule.version != current.version
+            ):
                 continue
-            times = dict(known.times)
-            times[name] = min(times[name], named.age_s)
-            self._load_times[model] = _LoadTimes(known.version, times)
+            times = dict(schedule.times)
+            times[name] = min(times[name], current.age_s)
+            self._load_schedules[model] = _LoadSchedule(
+                schedule.version, times
+            )
--- a/packages/daemon/src/lacewing_daemon/direct/_fleet.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_fleet.py
@@ -1,4 +1,4 @@
-"""Hold what a direct router knows of the deployment."""
+"""Keep a direct router's view of the deployment up to date."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,73 +33,78 @@
 from lacewing_daemon.direct.crashes._crash_store import CRASHES
 from lacewing_daemon.direct.crashes._guard import CrashGuard
 
-# How long a call waits for changes, at most. Each call that returns also
-# proves that the store is reached.
+# The maximum time for which a call waits for changes. Each call that returns
+# also confirms that the store is reachable.
 ROUTING_CONFIG_WAIT_S = 1.2
 UPSTREAMS_WAIT_S = 2.0
 WEIGHTS_WAIT_S = 4.0
-# Crashes are rare, and routers tell them to each other as well.
+# Crashes are rare, and routers also broadcast them to each other.
 CRASHES_WAIT_S = 15.0
-# After a change the next call waits this long, so that a series of changes
-# takes one call; well below the 2 s in which they must be in force. Entries
-# of upstreams change most: three a second while engines load weights and
-# some are replaced, which takes 2.5 calls a second at 0.2 s and 1.7 at 0.5
-# (counted over 30 s). At 0.8 s 1.1% fewer prompts came in time, as routers
-# ask longer for weights that an engine no longer has.
+# After a change the next call is delayed by this, so that one call returns a
+# series of changes; well below the 2 s within which they must be active.
+# Entries of upstreams change most: three a second while engines load weights
+# and some are replaced, which takes 2.5 calls a second at 0.2 s and 1.7 at
+# 0.5 s (counted over 30 s). At 0.8 s, 1.1% fewer prompts were on time, as
+# routers request weights for longer that an engine no longer has.
 ROUTING_CONFIG_BATCH_DELAY_S = 0.15
 UPSTREAMS_BATCH_DELAY_S = 0.5
 CRASHES_BATCH_DELAY_S = 0.3
-# Left of the time to refuse keys for what is under way when it has come.
+# Subtracted from the time within which keys must be refused, for requests that
+# are in progress when it ends.
 CONFIRM_SLACK_S = 0.15
-# Where the time is so short that waiting calls, which may be deaf for a
-# second, could never confirm anything, only so much of it is allowed for.
+# If keys are valid for so short a time that waiting calls, with a watch gap of
+# up to a second, could never confirm them, the gap is limited to this fraction
+# of the time.
 WATCH_GAP_FRACTION = 0.5
-SWEEP_S = 1.0
-# An entry of an upstream that had gone before the store returned from a copy
-# lapses again within three heartbeats, unless the upstream lives after all.
-COPIED_UPSTREAM_S = 10.0
-# An upstream that lives takes a connection within some ms.
-REACHED_S = 0.3
+POOL_SWEEP_S = 1.0
+# When the store is restored from a snapshot, the entry of an upstream that was
+# removed since lapses again within three heartbeats, unless the upstream is
+# alive after all.
+RESTORED_UPSTREAM_TIMEOUT_S = 10.0
+# A live upstream accepts a connection within some ms.
+PROBE_TIMEOUT_S = 0.3
 
 _log = get_log(Part.PLATFORM)
 
 
 def keys_valid_s(revoke_s: float) -> float:
-    """Return for how long a configuration is believed unconfirmed.
+    """Return for how long keys stay valid without a confirmation.
 
-    Requests with keys are refused after that, as a key may have been taken
-    away right after the last confirmation. Refusing sooner would turn away
-    callers for nothing.
+    Requests with keys are refused after that, as a key may have been revoked
+    right after the last confirmation. Refusing them earlier would reject
+    callers without need.
     """
     return max(revoke_s / 2, revoke_s - CONFIRM_SLACK_S)
 
 
 def watch_gap_s(revoke_s: float) -> float:
-    """Return for how long a waiting call is taken to have been deaf."""
+    """Return the watch gap that is assumed for a waiting call."""
     return min(WATCH_GAP_S, keys_valid_s(revoke_s) * WATCH_GAP_FRACTION)
 
 
 def routing_config_wait_s(revoke_s: float) -> float:
     """Return how long a call waits for a change of the configuration.
 
-    While one call waits, what the one before confirmed grows older by that
-    time. If it passed the time to refuse keys, a router would refuse all
-    requests with keys again and again, though the store answers.
+    While a call waits, the last confirmation ages by that time. If its age
+    passed the limit for valid keys, a router would repeatedly refuse all
+    requests with keys although the store answers.
     """
-    confirmed_s = keys_valid_s(revoke_s) * CONFIRM_FRACTION
-    return min(ROUTING_CONFIG_WAIT_S, confirmed_s - watch_gap_s(revoke_s))
+    max_age_s = keys_valid_s(revoke_s) * CONFIRM_FRACTION
+    return min(ROUTING_CONFIG_WAIT_S, max_age_s - watch_gap_s(revoke_s))
 
 
 class Fleet:
-    """Follow the store and track the upstreams."""
+    """Watch the store and track the upstreams."""
 
     def __init__(self, settings: DirectSettings, site: Site) -> None:
-        self._knowledge = ClusterState(settings.bounds, settings.policy)
+        self._cluster_state = ClusterState(settings.bounds, settings.policy)
         random = Random()
-        self._calls = StoreCallCounter()
+        self._store_calls = StoreCallCounter()
         self._eras = StoreEras()
-        self._store = InstrumentedObjects(site.store, self._calls, self._eras)
-        self._directories: CollectionWatcher[RoutingConfig] = (
+        self._store = InstrumentedObjects(
+            site.store, self._store_calls, self._eras
+        )
+        self._config_watcher: CollectionWatcher[RoutingConfig] = (
             CollectionWatcher(
                 'configuration',
                 site.routing_configs,
@@ -109,70 +114,76 @@
                 watch_gap_s=watch_gap_s(settings.bounds.revoke_s),
                 strict=True,
                 max_unconfirmed_s=keys_valid_s(settings.bounds.revoke_s),
-                calls=self._calls,
+                calls=self._store_calls,
                 eras=self._eras,
                 is_older=is_older_routing_config,
             )
         )
-        self._upstreams: CollectionWatcher[Upstream] = CollectionWatcher(
-            'upstreams',
-            site.upstreams,
-            UPSTREAMS_WAIT_S,
-            random,
-            True,
-            UPSTREAMS_BATCH_DELAY_S,
-            drop_unreadable=True,
-            calls=self._calls,
-            reconnect_leader=self._directories,
-            eras=self._eras,
-            is_older=is_older_upstream,
-            restored_timeout_s=COPIED_UPSTREAM_S,
+        self._upstream_watcher: CollectionWatcher[Upstream] = (
+            CollectionWatcher(
+                'upstreams',
+                site.upstreams,
+                UPSTREAMS_WAIT_S,
+                random,
+                True,
+                UPSTREAMS_BATCH_DELAY_S,
+                drop_unreadable=True,
+                calls=self._store_calls,
+                reconnect_leader=self._config_watcher,
+                eras=self._eras,
+                is_older=is_older_upstream,
+                restored_timeout_s=RESTORED_UPSTREAM_TIMEOUT_S,
+            )
         )
-        self._weights: CollectionWatcher[ReleasedWeights] = CollectionWatcher(
-            'weights',
-            site.weights,
-            WEIGHTS_WAIT_S,
-            random,
-            calls=self._calls,
-            reconnect_leader=self._directories,
-            eras=self._eras,
-            is_older=is_older_release,
+        self._weights_watcher: CollectionWatcher[ReleasedWeights] = (
+            CollectionWatcher(
+                'weights',
+                site.weights,
+                WEIGHTS_WAIT_S,
+                random,
+                calls=self._store_calls,
+                reconnect_leader=self._config_watcher,
+                eras=self._eras,
+                is_older=is_older_release,
+            )
         )
-        self._crashes: CollectionWatcher[str] = CollectionWatcher(
+        self._crash_watcher: CollectionWatcher[str] = CollectionWatcher(
             CRASHES,
             site.system_texts(CRASHES),
             CRASHES_WAIT_S,
             random,
             batch_delay_s=CRASHES_BATCH_DELAY_S,
-            calls=self._calls,
-            reconnect_leader=self._directories,
+            calls=self._store_calls,
+            reconnect_leader=self._config_watcher,
             eras=self._eras,
         )
-        self._on_directory: Callable[[RoutingConfig], None] | None = None
+        self._on_config: Callable[[RoutingConfig], None] | None = None
         self._pool = ConnectionPool()
-        self._routers = RouterCount(
+        self._router_count = RouterCount(
             self._store,
             settings.process_id,
             random,
-            self._knowledge.set_router_count,
+            self._cluster_state.set_router_count,
             address=settings.peers,
             eras=self._eras,
         )
-        self._guard = CrashGuard(
+        self._crash_guard = CrashGuard(
             settings.process_id,
             settings.peers,
             self._store,
-            self._crashes,
-            lambda: self._routers.addresses,
-            _reached,
+            self._crash_watcher,
+            lambda: self._router_count.addresses,
+            _probe_connection,
             random,
             self._eras,
         )
-        self._silence = SilenceDetector(settings.policy.mute_ms / 1000)
+        self._silence_detector = SilenceDetector(
+            settings.policy.mute_ms / 1000
+        )
         self._tasks: list[asyncio.Task[None]] = []
-        self._directories.on_change(self._take_directory)
-        self._upstreams.on_change(self._take_upstream)
-        self._weights.on_change(self._take_weights)
+        self._config_watcher.on_change(self._apply_routing_config)
+        self._upstream_watcher.on_change(self._apply_upstream)
+        self._weights_watcher.on_change(self._apply_release)
 
     @property
     def pool(self) -> ConnectionPool:
@@ -181,166 +192,174 @@
 
     @property
     def store(self) -> InstrumentedObjects:
-        """Return the store of the system's own objects, calls counted."""
+        """Return the store of the system's own objects, with counted calls."""
         return self._store
 
     @property
     def silence_detector(self) -> SilenceDetector:
-        """Return the watch over upstreams with streams under way."""
-        return self._silence
+        """Return the detector of silent upstreams with open streams."""
+        return self._silence_detector
 
     @property
     def crash_guard(self) -> CrashGuard:
-        """Return what blocks requests that crash upstreams."""
-        return self._guard
+        """Return the guard that blocks requests that crash upstreams."""
+        return self._crash_guard
 
     @property
     def peer_addresses(self) -> tuple[str, ...]:
-        """Return where the other routers listen for this one."""
-        return self._routers.addresses
+        """Return the addresses at which the other routers listen for peers."""
+        return self._router_count.addresses
 
     @property
     def cluster_state(self) -> ClusterState:
-        """Return what is known, as far as it was followed."""
-        return self._knowledge
+        """Return the cluster state as observed so far."""
+        return self._cluster_state
 
     @property
     def ready(self) -> bool:
-        """Tell whether requests can be served."""
+        """Return whether requests can be served."""
         return (
-            self._knowledge.routing_config is not None
-            and self._upstreams.has_loaded
-            and self._crashes.has_loaded
+            self._cluster_state.routing_config is not None
+            and self._upstream_watcher.has_loaded
+            and self._crash_watcher.has_loaded
             and self.keys_confirmed
         )
 
     @property
     def keys_confirmed(self) -> bool:
-        """Tell whether a key that was taken away would be known."""
-        limit_s = keys_valid_s(self._knowledge.bounds.revoke_s)
-        return self._directories.age_s < limit_s
+        """Return whether the keys were confirmed recently enough to use."""
+        limit_s = keys_valid_s(self._cluster_state.bounds.revoke_s)
+        return self._config_watcher.age_s < limit_s
 
     @property
     def routing_config_age_s(self) -> float:
-        """Return for how long the configuration has not been confirmed."""
-        return self._directories.age_s
+        """Return the age of the last confirmation of the configuration."""
+        return self._config_watcher.age_s
 
     def on_routing_config(
         self, callback: Callable[[RoutingConfig], None]
     ) -> None:
-        """Call back with each configuration that comes into force."""
-        self._on_directory = callback
+        """Call back with each configuration that becomes active."""
+        self._on_config = callback
 
     def update_weights(
         self, state: UpstreamState, model: str, version: int
     ) -> None:
-        """Take the version of weights that an upstream told.
+        """Apply the version of weights that an upstream reported.
 
-        If the store told nothing of it, it was named after the last
+        If the store has not reported it, it was released after the last
         confirmation.
         """
-        self._knowledge.update_weights(
-            state, model, version, self._weights.age_s
+        self._cluster_state.update_weights(
+            state, model, version, self._weights_watcher.age_s
         )
 
     def update_age_metrics(self) -> None:
-        """Write the ages of what is known into the metrics."""
+        """Update the metrics of the ages of watched collections."""
         for name, age_s in (
-            ('configuration', self._directories.age_s),
-            ('upstreams', self._upstreams.age_s),
-            ('weights', self._weights.age_s),
+            ('configuration', self._config_watcher.age_s),
+            ('upstreams', self._upstream_watcher.age_s),
+            ('weights', self._weights_watcher.age_s),
         ):
             STORE_AGE_SECONDS.labels(name).set(age_s)
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start watching the store."""
         for run in (
-            self._directories.run(),
-            self._upstreams.run(),
-            self._weights.run(),
-            self._crashes.run(),
-            self._guard.run(),
+            self._config_watcher.run(),
+            self._upstream_watcher.run(),
+            self._weights_watcher.run(),
+            self._crash_watcher.run(),
+            self._crash_guard.run(),
             self._sweep(),
-            self._silence.run(),
-            self._routers.run(),
-            self._calls.run(),
+            self._silence_detector.run(),
+            self._router_count.run(),
+            self._store_calls.run(),
         ):
             task = asyncio.create_task(run)
-            task.add_done_callback(_report_fault)
+            task.add_done_callback(_log_failure)
             self._tasks.append(task)
 
     async def deregister(self) -> None:
-        """Tell the other routers that this one ends."""
-        await self._routers.deregister()
+        """Remove the own entry, so that other routers stop counting it."""
+        await self._router_count.deregister()
 
     def close(self) -> None:
-        """Stop following; close idle connections."""
+        """Stop watching the store and close idle connections."""
         for task in self._tasks:
             task.cancel()
-        self._guard.close()
-        self._calls.log_counts()
+        self._crash_guard.close()
+        self._store_calls.log_counts()
         self._pool.close()
 
-    def _take_directory(self, _name: str, value: RoutingConfig | None) -> None:
-        known = self._knowledge.routing_config
-        if value is None or not self._knowledge.update_routing_config(value):
+    def _apply_routing_config(
+        self, _name: str, value: RoutingConfig | None
+    ) -> None:
+        before = self._cluster_state.routing_config
+        if value is None or not self._cluster_state.update_routing_config(
+            value
+        ):
             return
-        read = self._directories.last_response
+        response = self._config_watcher.last_response
         _log.info(
             'Took a configuration.',
             version=value.version,
-            before=None if known is None else known.version,
+            before=None if before is None else before.version,
             routes=len(value.routes),
-            read_bytes=read.size,
-            read_ms=round(read.took_s * 1000),
+            read_bytes=response.size,
+            read_ms=round(response.took_s * 1000),
         )
-        for state in self._knowledge.upstreams.values():
-            self._take_entry_weights(state)
-        if self._on_directory is not None:
-            self._on_directory(value)
+        for state in self._cluster_state.upstreams.values():
+            self._apply_entry_weights(state)
+        if self._on_config is not None:
+            self._on_config(value)
 
-    def _take_weights(self, _name: str, value: ReleasedWeights | None) -> None:
+    def _apply_release(
+        self, _name: str, value: ReleasedWeights | None
+    ) -> None:
         if value is not None:
-            self._knowledge.record_release(
-                value, self._weights.max_change_age_s, ReleaseSource.STORE
+            self._cluster_state.record_release(
+                value,
+                self._weights_watcher.max_change_age_s,
+                ReleaseSource.STORE,
             )
 
-    def _take_upstream(self, name: str, value: Upstream | None) -> None:
-        self._knowledge.update_upstream(name, value)
+    def _apply_upstream(self, name: str, value: Upstream | None) -> None:
+        self._cluster_state.update_upstream(name, value)
         if value is None:
             return
-        state = self._knowledge.upstream(name)
+        state = self._cluster_state.upstream(name)
         if state is not None:
-            self._take_entry_weights(state)
+            self._apply_entry_weights(state)
 
-    def _take_entry_weights(self, state: UpstreamState) -> None:
-        """Take the versions in an entry for named.
+    def _apply_entry_weights(self, state: UpstreamState) -> None:
+        """Apply the versions in an entry as released.
 
-        Somebody else may have written it. Of a service or a model that the
-        configuration does not hold nothing counts: a version that was never
-        named would end the use of all engines some seconds later.
+        Another writer may have written the entry, so a service or model that
+        is not configured is ignored: a version that was never released would
+        end the use of all engines some seconds later.
         """
-        models = self._knowledge.models(state.upstream)
+        models = self._cluster_state.models(state.upstream)
         for model, version in state.upstream.weights.items():
             if model in models:
                 self.update_weights(state, model, version)
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
-            states = self._knowledge.upstreams.values()
+            await asyncio.sleep(POOL_SWEEP_S)
+            states = self._cluster_state.upstreams.values()
             self._pool.close_expired(state.upstream for state in states)
 
 
-def _report_fault(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        _log.error('A task ended.', error=repr(task.exception()))
+        _log.error('A background task failed.', error=repr(task.exception()))
 
 
-async def _reached(upstream: Upstream) -> Contact:
-    """Try whether an upstream takes a connection."""
+async def _probe_connection(upstream: Upstream) -> Contact:
+    """Probe whether an upstream accepts a connection."""
     try:
-        connection = await connect(upstream.address, REACHED_S)
+        connection = await connect(upstream.address, PROBE_TIMEOUT_S)
     except ConnectionRefusedError:
         return Contact.REFUSED
     except OSError:
--- a/packages/daemon/src/lacewing_daemon/direct/_routing_config.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_routing_config.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force: routes, services, teams and limits."""
+"""Hold the active configuration: routes, services, teams and limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -24,10 +24,10 @@
     answer is a stream of events; a ``resumable`` one can be continued after
     its last event by another upstream. ``timeout_s``: a caller gets a final
     answer within this time. ``latency_target_s``: an answer, or a stream's
-    first event, is on time within. ``priority``: 0 is the most urgent.
-    ``max_runs``: upstreams on which one request may run. ``max_event_gap_s``:
-    a stream is on time with no longer pause between its events, 0 if none is
-    told.
+    first event, is on time within this time. ``priority``: 0 is the most
+    urgent. ``max_runs``: upstreams on which one request may run.
+    ``max_event_gap_s``: a stream is on time if no pause between its events is
+    longer, 0 if not specified.
     """
 
     name: str
@@ -46,24 +46,25 @@
 
     @property
     def can_retry(self) -> bool:
-        """Tell whether a request that may have run can be sent again."""
+        """Return whether a request that may have run can be sent again."""
         return self.repeatable or (self.is_streaming and self.resumable)
 
     @property
     def abandon_after_s(self) -> float:
-        """Return after how long without an event callers leave a stream."""
+        """Return after how long without an event callers abandon a stream."""
         return max(
-            LEAVES_S,
-            self.latency_target_s * LEAVES_TARGETS,
-            self.max_event_gap_s * LEAVES_PAUSES,
+            MIN_ABANDON_S,
+            self.latency_target_s * ABANDON_TARGET_FACTOR,
+            self.max_event_gap_s * ABANDON_GAP_FACTOR,
         )
 
 
-# Callers leave a stream after a gap of this long, of so many targets or of so
-# many allowed pauses, whichever is longest: what the platform's clients do.
-LEAVES_S = 2.0
-LEAVES_TARGETS = 4.0
-LEAVES_PAUSES = 8.0
+# Callers abandon a stream after a gap of this many seconds, of this many
+# latency targets or of this many maximum event gaps, whichever is longest; the
+# platform's clients behave so.
+MIN_ABANDON_S = 2.0
+ABANDON_TARGET_FACTOR = 4.0
+ABANDON_GAP_FACTOR = 8.0
 
 
 @dataclass(frozen=True)
@@ -71,9 +72,9 @@
     """Hold the limits of the model engines of a service.
 
     ``slots``: requests that run at once; ``kv_tokens``: tokens that fit into
-    an engine's memory; ``kv_token_bytes``: bytes of one of them;
+    an engine's KV cache; ``kv_token_bytes``: bytes of one of them;
     ``link_bytes_per_s``: speed of KV transfers. ``supports_copies``: an engine
-    can send the memory of a run to another one as it grows.
+    can copy the KV cache of a run to another engine as it grows.
     """
 
     slots: int
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True)
 class KvStore:
-    """Hold where a store of kept KV cache is and what it can do."""
+    """Hold the address, capacity and speed of a KV store."""
 
     address: str
     availability_zone: str
@@ -98,7 +99,7 @@
 class Service:
     """Describe the upstreams of one service.
 
-    ``max_connections``: those that one upstream accepts from all callers.
+    ``max_connections``: how many one upstream accepts from all callers.
     """
 
     name: str
@@ -109,20 +110,20 @@
     def max_idle_connections(self, routers: int) -> int:
         """Return how many idle connections a router keeps to an upstream.
 
-        Half of an upstream's connections are left to requests under way.
+        Half of an upstream's connections are left for open requests.
         """
         if not self.max_connections:
-            return LEAST_IDLE
-        return max(LEAST_IDLE, self.max_connections // (2 * routers))
+            return MIN_IDLE_CONNECTIONS
+        return max(MIN_IDLE_CONNECTIONS, self.max_connections // (2 * routers))
 
 
-# Kept where an upstream's limit is unknown or small.
-LEAST_IDLE = 4
+# Used if an upstream's limit is unknown or small.
+MIN_IDLE_CONNECTIONS = 4
 
 
 @dataclass(frozen=True)
 class Team:
-    """Hold what a caller's key stands for."""
+    """Hold the team that a caller's key belongs to."""
 
     name: str
     priority: int
@@ -131,7 +132,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Bound what a caller may send; bytes and seconds.
+    """Limit what a caller may send; bytes and seconds.
 
     ``idle_s``: how long a caller may leave its connection unused.
     """
@@ -172,22 +173,22 @@
 
     def route(self, host: str, path: str) -> Route | None:
         """Return the route of the longest prefix that begins the path."""
-        bare, _, _ = path.partition('?')
+        path_only, _, _ = path.partition('?')
         prefixes = self._by_host.get(_without_port(host))
-        return None if prefixes is None else prefixes.find(bare)
+        return None if prefixes is None else prefixes.find(path_only)
 
     @property
     def kv_stores(self) -> tuple[KvStore, ...]:
-        """Return the stores of kept KV cache."""
+        """Return the KV stores of all services."""
         return self._kv_stores
 
 
 class _Prefixes:
     """Find the route of the longest prefix among those of one host.
 
-    Thousands of routes may share a host. Compared one by one, they would
-    cost each request a part of a millisecond, and three times that on a
-    VM's share of a processor.
+    Thousands of routes may share a host. Comparing them one by one would cost
+    each request a fraction of a millisecond, and three times that on the
+    processor share of a VM.
     """
 
     def __init__(self) -> None:
@@ -195,7 +196,7 @@
         self._lengths: list[int] = []
 
     def add(self, route: Route) -> None:
-        """Add a route; of several with one prefix the first counts."""
+        """Add a route; of several with the same prefix the first is used."""
         self._routes.setdefault(route.path_prefix, route)
         length = len(route.path_prefix)
         if length not in self._lengths:
--- a/packages/daemon/src/lacewing_daemon/direct/_site.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_site.py
@@ -1,6 +1,7 @@
-"""Describe what a deployment's platform gives; an adapter implements it.
+"""Define the interface to a deployment's platform.
 
-The adapter translates names, formats and calls and decides nothing.
+An adapter implements it: it translates names, formats and calls, and makes no
+decisions.
 """
 
 from collections.abc import Mapping
@@ -28,9 +29,9 @@
 class Listing(Generic[T]):
     """Hold all entries of a collection as of one revision.
 
-    ``unreadable``: names of entries that are there but not as agreed.
-    ``size`` and ``took_s``: bytes read and the time that they arrived in.
-    ``era`` is the store's when it answered, 0 if it told none.
+    ``unreadable``: names of entries that exist but cannot be decoded.
+    ``size`` and ``took_s``: bytes read and the time in which they arrived.
+    ``era`` is the store era of the answer, 0 if it gave none.
     """
 
     entries: Mapping[str, T]
@@ -45,9 +46,9 @@
 class Changes(Generic[T]):
     """Hold what changed up to a revision; None for a removed entry.
 
-    ``unreadable``: names of entries that changed to what was not agreed.
-    ``size`` and ``took_s``: bytes read and the time that they arrived in.
-    ``era`` is the store's when it answered, 0 if it told none.
+    ``unreadable``: names of entries whose new values cannot be decoded.
+    ``size`` and ``took_s``: bytes read and the time in which they arrived.
+    ``era`` is the store era of the answer, 0 if it gave none.
     """
 
     changed: tuple[tuple[str, T | None], ...]
@@ -60,14 +61,14 @@
 
 @dataclass(frozen=True)
 class HistoryExpired:
-    """Report that changes were forgotten: the collection is read anew."""
+    """Report that the change history expired; the collection is reread."""
 
     message: str
     era: int = 0
 
 
 class Collection(Protocol[T]):
-    """Read and follow one collection that the platform keeps."""
+    """Read and watch one collection of the platform's store."""
 
     async def read(self) -> Listing[T] | StoreError:
         """Read all entries as they are now."""
@@ -79,9 +80,9 @@
 
 
 class OrderVerdict(Enum):
-    """Tell what an upstream did with an order to load weights.
+    """Name the result of an order to load weights.
 
-    OTHER_INCARNATION: nothing was ordered, as the upstream has started again.
+    OTHER_INCARNATION: nothing was ordered, as the upstream has restarted.
     """
 
     ACCEPTED = 'taken'
@@ -95,11 +96,11 @@
 
 @dataclass(frozen=True)
 class UpstreamReport:
-    """Hold what an upstream says of itself.
+    """Hold the status that an upstream reports.
 
     ``accepted_orders`` counts the orders it accepted since its start;
-    ``busy`` is true while it carries one out. ``started_ms`` is the Unix
-    millisecond of its start, 0 where that is not told.
+    ``busy`` is true while it executes one. ``started_ms`` is the Unix time of
+    its start in milliseconds, 0 if not reported.
     """
 
     accepted_orders: int
@@ -109,10 +110,10 @@
 
 
 class SwitchMode(Enum):
-    """Tell what becomes of the runs under way when weights are loaded.
+    """Name what happens to open runs when weights are loaded.
 
-    WAIT lets them end first, KEEP lets them go on with the new weights, CUT
-    breaks them off.
+    WAIT lets them finish first, KEEP continues them with the new weights, CUT
+    aborts them.
     """
 
     WAIT = 'wait'
@@ -124,8 +125,8 @@
 class LoadOrder:
     """Order an upstream to load a version of a model's weights.
 
-    ``accepted_orders`` must be the upstream's count when the order is carried
-    out: one that arrives late, after newer ones, is then refused.
+    ``accepted_orders`` must equal the upstream's count when the order is
+    executed, so that an order that arrives after later ones is refused.
     """
 
     model: str
@@ -137,10 +138,10 @@
 
 
 class UpstreamControl(Protocol):
-    """Ask upstreams about themselves and give them orders."""
+    """Request the status of upstreams and send orders to them."""
 
     async def report(self, upstream: Upstream) -> UpstreamReport | None:
-        """Return the upstream's report, None if it gave none."""
+        """Return the upstream's report, None if it sent none."""
 
     async def load(self, upstream: Upstream, order: LoadOrder) -> OrderVerdict:
         """Order an upstream to load weights."""
@@ -150,12 +151,12 @@
     """Keep the system's own objects."""
 
     async def peek(self, kind: str, name: str) -> StoredObject | StoreError:
-        """Read one object cheaply; it may be seconds old."""
+        """Read one object at low cost; it may be seconds old."""
 
     async def peek_all(
         self, kind: str
     ) -> tuple[StoredObject, ...] | StoreError:
-        """Read all objects of a kind cheaply; they may be seconds old."""
+        """Read all objects of a kind at low cost; they may be seconds old."""
 
     async def delete(
         self, kind: str, name: str, expect: int
@@ -164,7 +165,7 @@
 
 
 class Site(Protocol):
-    """Hold all that the platform keeps for the system."""
+    """Give access to everything that the platform stores for the system."""
 
     @property
     def routing_configs(self) -> Collection[RoutingConfig]:
@@ -176,10 +177,10 @@
 
     @property
     def weights(self) -> Collection[ReleasedWeights]:
-        """Return the versions of weights that operators named."""
+        """Return the versions of weights that operators released."""
 
     def system_texts(self, kind: str) -> Collection[str]:
-        """Return the system's own objects of a kind, to be followed."""
+        """Return a watchable collection of the system's own objects."""
 
     @property
     def store(self) -> SystemObjects:
@@ -187,19 +188,19 @@
 
     @property
     def control(self) -> UpstreamControl:
-        """Return the calls to upstreams beside callers' requests."""
+        """Return the client for status calls and orders to upstreams."""
 
 
 @dataclass(frozen=True)
 class Dispatch:
-    """Hold what is told to an upstream beside a caller's request.
-
-    ``deadline_s`` is what is left of the request's time. ``cache_salt``
-    separates KV cache that must not be shared. ``weights`` is the version
-    that the upstream must have. ``fetch_from`` and ``save_to`` are
-    addresses of KV caches. ``urgency`` is 0 (first) to 9. ``copy_to`` is
-    the address of an upstream that keeps a copy of the run's memory as it
-    grows. ``continue_from`` is that address when the run goes on there, after
+    """Hold what is sent to an upstream along with a caller's request.
+
+    ``deadline_s`` is the remaining time of the request. ``cache_salt``
+    separates KV caches that must not be shared. ``weights`` is the version
+    that the upstream must have. ``fetch_from`` and ``save_to`` are addresses
+    of KV caches. ``urgency`` is 0 (most urgent) to 9. ``copy_to`` is the
+    address of an upstream that keeps a copy of the run's KV cache as it grows.
+    ``continue_from`` is that address when the run continues there, after
     ``after_event``.
     """
 
@@ -218,7 +219,7 @@
 
 @dataclass(frozen=True)
 class UpstreamLoad:
-    """Hold the load that an upstream told with an answer."""
+    """Hold the load that an upstream reported with an answer."""
 
     running: int
     waiting: int
@@ -229,10 +230,10 @@
 class ReplyHead:
     """Hold the head of an upstream's answer.
 
-    ``not_run``: the upstream says that it did not run the request.
-    ``other_upstream``: another incarnation answered, and ran nothing.
+    ``not_run``: the upstream reports that it did not run the request.
+    ``misdirected``: another incarnation answered, and ran nothing.
     ``is_signed``: the answer carries the upstream's signature.
-    ``responder_id`` is the id of the upstream that answered, '' if not told.
+    ``responder_id`` is the id of the upstream that answered, '' if not given.
     """
 
     status: int
@@ -273,4 +274,4 @@
     def refusal(
         self, request_id: str, retry_after_s: float | None
     ) -> HTTPHeaders:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of a refusal that the router itself sends."""
--- a/packages/daemon/src/lacewing_daemon/lease.py
+++ b/packages/daemon/src/lacewing_daemon/lease.py
@@ -1,8 +1,9 @@
-"""Hold a lease in the platform: one holder at a time, by own clocks.
+"""Hold a lease in the platform's store, with one holder at a time.
 
-The fencing number is made of the store's era and the object's version. Both
-only grow, so a holder that was replaced carries a lower one than its
-successor, also after the store has returned from an older copy.
+Each process measures the lease by its own clock. The fencing number is
+composed of the store era and the object's version. Both only grow, so a
+replaced holder has a lower number than its successor, even after the store was
+restored from an older snapshot.
 """
 
 import time
@@ -22,13 +23,13 @@
 from lacewing_common.store import StoreFault
 
 LEASES = 'leases'
-# Written for a holder that never acted; JSON has no infinity.
-_LONG_S = 3600.0
-# Versions are below two to this power.
+# Written if the holder never acted, as JSON has no infinity.
+_NEVER_ACTED_S = 3600.0
+# Versions are less than two to this power.
 _VERSION_BITS = 32
-# Durations of a lease's holders differ where a deployment is changed, but
-# not by more; a record that says so was written by somebody else.
-_MOST_LONGER = 10.0
+# Holders' lease durations differ while a deployment is being reconfigured, but
+# not by more than this factor; a longer one was written by another writer.
+_MAX_DURATION_FACTOR = 10.0
 
 Clock = Callable[[], float]
 Peek = Callable[[str, str], Awaitable[StoredObject | StoreError]]
@@ -37,11 +38,11 @@
 class LeaseRecord(msgspec.Struct, frozen=True):
     """Hold a lease's value; ``holder`` '' means released.
 
-    ``nonce`` is new for each write, by which a writer finds its own one
-    when the answer was lost. ``duration_s`` is the holder's promise.
-    ``acted_ago_s``: at the time of this write the holder had not acted for
-    so long, and will not before its next write; 0: it may be acting.
-    ``era`` is the store's in which it was written, 0 if none is told.
+    ``nonce`` is unique to each write, so that a writer recognizes its own
+    write if the answer was lost. ``duration_s`` is the lease duration that
+    the holder observes. ``acted_ago_s``: for how long the holder had not acted
+    when it wrote this; it will not act before its next write. 0: it may be
+    acting. ``era`` is the store era of the write, 0 if the store gave none.
     """
 
     holder: str
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True)
 class LeaseHeld:
-    """Report the lease as held; ``fence`` is its fencing number."""
+    """Report that the lease is held; ``fence`` is its fencing number."""
 
     fence: int
 
 
 @dataclass(frozen=True)
 class LeaseNotHeld:
-    """Report that another holds the lease, or that nobody can tell."""
+    """Report that the lease is held by another or its state is unknown."""
 
     message: str
 
@@ -68,15 +69,15 @@
 class Lease:
     """Acquire, renew and release one lease.
 
-    ``peek`` reads an object cheaply and maybe late, as those who wait for
-    the lease do all the time: an old version only makes them wait longer.
-    Durations are measured by the process's own monotonic clock: ``margin_s``
-    covers what clocks and calls under way may differ.
+    ``peek`` is an eventually consistent read at low cost, which processes that
+    wait for the lease make all the time: a stale version only makes them wait
+    longer. Durations are measured by the process's own monotonic clock;
+    ``margin_s`` covers clock differences and calls in progress.
 
-    A store that returns from an older copy may show the lease as free, or as
-    held by an earlier holder, while the last one still acts under it. So a
-    record of an earlier era counts as one of an unknown holder that acted
-    until that era ended, and is waited out like any other.
+    A store that was restored from an older snapshot may show the lease as
+    free, or as held by an earlier holder, while the last holder still acts
+    under it. So a record of an earlier era is treated as that of an unknown
+    holder that acted until that era ended, and has to expire like any other.
     """
 
     def __init__(
@@ -100,78 +101,81 @@
         self._random = random or Random()
         self._version = 0
         self._era = 0
-        self._era_from_s = float('-inf')
-        self._until_s = 0.0
-        self._seen_version = 0
-        self._seen_at_s = 0.0
-        self._seen_duration_s = duration_s
+        self._era_started_s = float('-inf')
+        self._expires_s = 0.0
+        self._observed_version = 0
+        self._observed_at_s = 0.0
+        self._observed_duration_s = duration_s
         self._acting = False
         self._acted_s = float('-inf')
         self._other_acted_s = float('-inf')
 
     @property
     def is_acting(self) -> bool:
-        """Tell whether the lease is written as one that is acted under."""
+        """Return whether the holder has announced that it acts."""
         return self._acting and self.is_held
 
     @property
     def other_acted_ago_s(self) -> float:
-        """Return how long ago at least another holder may have acted."""
+        """Return the minimum time since another holder may have acted."""
         return self._clock() - self._other_acted_s
 
     @property
     def is_held(self) -> bool:
-        """Tell whether this process's own clock is within the lease."""
-        return self._version > 0 and self._clock() < self._until_s
+        """Return whether the lease is held by this process's own clock."""
+        return self._version > 0 and self._clock() < self._expires_s
 
     @property
     def fence(self) -> int:
-        """Return the fencing number last held, 0 before the first."""
+        """Return the last fencing number, 0 before the first."""
         if not self._version:
             return 0
         return (self._era << _VERSION_BITS) + self._version
 
     async def acquire(self) -> LeaseHeld | LeaseNotHeld:
-        """Renew the lease, or take one that is free or has lapsed.
+        """Renew the lease, or acquire it if it is free or has expired.
 
-        Returns a fencing number higher than all before it.
+        Returns a fencing number higher than all previous ones.
         """
         if self.is_held:
             answer = await self._write(self._holder, self._version)
             if isinstance(answer, LeaseHeld) or self.is_held:
                 return answer
-        glimpse = await self._peek(LEASES, self._name)
-        self._take_era(glimpse.era)
-        if isinstance(glimpse, StoredObject):
-            waiting = self._look(glimpse)
-            if waiting is not None:
-                return waiting
-        seen = await self._store.get(LEASES, self._name)
-        self._take_era(seen.era)
-        if isinstance(seen, StoreError):
-            if seen.fault is not StoreFault.NOT_FOUND:
-                return LeaseNotHeld(seen.message)
-            if self._may_be_held_from_before(self._duration_s):
-                return LeaseNotHeld(f'{self._name} may have been lost')
-            self._other_acted_s = max(self._other_acted_s, self._era_from_s)
+        peeked = await self._peek(LEASES, self._name)
+        self._update_era(peeked.era)
+        if isinstance(peeked, StoredObject):
+            not_held = self._check_expired(peeked)
+            if not_held is not None:
+                return not_held
+        stored = await self._store.get(LEASES, self._name)
+        self._update_era(stored.era)
+        if isinstance(stored, StoreError):
+            if stored.fault is not StoreFault.NOT_FOUND:
+                return LeaseNotHeld(stored.message)
+            if self._may_be_held_from_earlier_era(self._duration_s):
+                return LeaseNotHeld(
+                    f'the record of lease {self._name} may have been lost when'
+                    ' the store was restored'
+                )
+            self._other_acted_s = max(self._other_acted_s, self._era_started_s)
             return await self._write(self._holder, MUST_NOT_EXIST)
-        waiting = self._look(seen)
-        if waiting is not None:
-            return waiting
-        self._note_other(seen)
-        return await self._write(self._holder, seen.version)
+        not_held = self._check_expired(stored)
+        if not_held is not None:
+            return not_held
+        self._record_other_holder(stored)
+        return await self._write(self._holder, stored.version)
 
     async def begin_acting(self) -> bool:
-        """Write that the holder acts from now on; false if it must not.
+        """Announce that the holder acts from now on; false if it must not.
 
-        A successor waits only if its predecessor may have acted lately.
-        While nobody acts, holders may then change without a pause, as they
-        do when all processes are restarted in turn.
+        A successor waits only if its predecessor may have acted recently. So
+        while no holder acts, the lease changes hands without a delay, as in a
+        rolling restart.
         """
         if self.is_acting:
             return True
         if not self.is_held:
-            # Taking it over first would skip the wait for a predecessor.
+            # Acquiring it here would skip the wait for a predecessor.
             return False
         self._acting = True
         if isinstance(
@@ -182,96 +186,97 @@
         return False
 
     def record_action(self) -> None:
-        """Note that the holder acts at this moment."""
+        """Record that the holder acts now."""
         self._acted_s = self._clock()
 
     def end_acting(self) -> None:
-        """Promise not to act before the next ``begin_acting``."""
+        """Mark that the holder does not act before ``begin_acting``."""
         self._acting = False
 
     async def release(self) -> None:
-        """Let others take the lease without waiting it out."""
+        """Release the lease, so that others need not wait for its expiry."""
         version = self._version if self.is_held else 0
         self._version = 0
         self._acting = False
         if version:
             await self._put('', version)
 
-    def _take_era(self, era: int) -> None:
-        """Take the era of an answer; a new one ends the lease."""
+    def _update_era(self, era: int) -> None:
+        """Update the era from an answer; a new era ends the lease."""
         if era <= self._era:
             return
         if self._era:
-            # The first one that is told has not begun just now.
-            self._era_from_s = self._clock()
+            # The first era that is observed may have started long ago.
+            self._era_started_s = self._clock()
         self._era = era
         self._version = 0
         self._acting = False
-        self._seen_version = 0
+        self._observed_version = 0
 
-    def _may_be_held_from_before(self, duration_s: float) -> bool:
-        """Tell whether a holder of the era before may still act."""
-        since_s = self._clock() - self._era_from_s
-        return since_s < duration_s + self._margin_s
+    def _may_be_held_from_earlier_era(self, duration_s: float) -> bool:
+        """Return whether a holder of the previous era may still act."""
+        era_age_s = self._clock() - self._era_started_s
+        return era_age_s < duration_s + self._margin_s
 
-    def _look(self, seen: StoredObject) -> LeaseNotHeld | None:
-        """Tell whether a lease seen has to be waited out.
+    def _check_expired(self, stored: StoredObject) -> LeaseNotHeld | None:
+        """Return a refusal if a lease has not expired yet, else None.
 
         Its holder counts from before it sent its last renewal, which was
-        before this process first saw that version: after a whole duration
-        the holder's own clock has passed the end, paused or not.
+        before this process first saw that version: after a whole duration the
+        lease has expired by the holder's own clock, even if it was suspended.
         """
-        if seen.era < self._era:
+        if stored.era < self._era:
             return LeaseNotHeld(
-                f'{self._name} was read before the store returned'
+                f'lease {self._name} was read before the store was restored'
             )
-        record = self._record(seen)
+        record = self._decode_valid(stored)
         now_s = self._clock()
-        if self._from_before(record):
+        if self._is_of_earlier_era(record):
             record = None
         if record is not None and record.holder in ('', self._holder):
             # Released, or this process's own write whose answer was lost.
             return None
-        if seen.version != self._seen_version:
-            self._seen_version = seen.version
-            self._seen_at_s = now_s
-            self._seen_duration_s = self._duration_s
+        if stored.version != self._observed_version:
+            self._observed_version = stored.version
+            self._observed_at_s = now_s
+            self._observed_duration_s = self._duration_s
             if record is not None:
-                self._seen_duration_s = record.duration_s
-        wait_s = self._seen_duration_s + self._margin_s
-        if now_s - self._seen_at_s >= wait_s:
+                self._observed_duration_s = record.duration_s
+        wait_s = self._observed_duration_s + self._margin_s
+        if now_s - self._observed_at_s >= wait_s:
             return None
-        holder = 'unknown' if record is None else record.holder
-        return LeaseNotHeld(f'{self._name} is held by {holder}')
+        holder = 'an unknown holder' if record is None else record.holder
+        return LeaseNotHeld(f'lease {self._name} is held by {holder}')
 
-    def _record(self, seen: StoredObject) -> LeaseRecord | None:
+    def _decode_valid(self, stored: StoredObject) -> LeaseRecord | None:
         """Decode a lease's value; None if no holder wrote it.
 
-        Believed, one that is to last for years would keep everybody from
-        the lease, and one that acted long ago would let two holders act.
+        If accepted, a record that lasts for years would block the lease for
+        everybody, and one that acted long ago would let two holders act.
         """
-        record = _decode(seen.value)
+        record = _decode(stored.value)
         if record is None:
             return None
-        if not 0 < record.duration_s <= self._duration_s * _MOST_LONGER:
+        max_duration_s = self._duration_s * _MAX_DURATION_FACTOR
+        if not 0 < record.duration_s <= max_duration_s:
             return None
-        if not 0 <= record.acted_ago_s <= _LONG_S:
+        if not 0 <= record.acted_ago_s <= _NEVER_ACTED_S:
             return None
         return record
 
-    def _from_before(self, record: LeaseRecord | None) -> bool:
-        """Tell whether a record was written before the store returned.
+    def _is_of_earlier_era(self, record: LeaseRecord | None) -> bool:
+        """Return whether a record was written before the store was restored.
 
-        Routers of an earlier release write no era.
+        Routers of an earlier software release write no era.
         """
         return record is not None and 0 < record.era < self._era
 
-    def _note_other(self, seen: StoredObject) -> None:
-        record = self._record(seen)
-        if self._from_before(record):
-            # Its successors may have acted until the store returned, which
-            # was before this process first saw the record.
-            self._other_acted_s = max(self._era_from_s, self._seen_at_s)
+    def _record_other_holder(self, stored: StoredObject) -> None:
+        record = self._decode_valid(stored)
+        if self._is_of_earlier_era(record):
+            # Its successors may have acted until the store was restored,
+            # which was before this process first saw the record.
+            self._other_acted_s = max(self._era_started_s, self._observed_at_s)
             return
         if record is not None and record.holder == self._holder:
             return
@@ -281,21 +286,24 @@
     async def _write(
         self, holder: str, expect: int
     ) -> LeaseHeld | LeaseNotHeld:
-        # Counted from before the call: when its answer comes late, the
-        # lease has run since the platform took the write.
-        began_s = self._clock()
+        # Counted from before the call: if its answer arrives late, the lease
+        # has been running since the store applied the write.
+        sent_s = self._clock()
         era = self._era
         answer = await self._put(holder, expect)
-        self._take_era(answer.era)
+        self._update_era(answer.era)
         if self._era != era and era:
-            # Versions are given out again: the condition held by chance.
-            return LeaseNotHeld('the store has returned from a copy')
+            # A restored store reuses versions: the precondition may have
+            # matched by chance.
+            return LeaseNotHeld('the store was restored during the write')
         if isinstance(answer, StoredObject):
             self._version = answer.version
-            self._until_s = began_s + self._duration_s
+            self._expires_s = sent_s + self._duration_s
             if self.is_held:
                 return LeaseHeld(self.fence)
-            return LeaseNotHeld('the renewal took as long as the lease')
+            return LeaseNotHeld(
+                'the lease expired before the write was answered'
+            )
         if answer.fault is StoreFault.CONFLICT:
             self._version = 0
         return LeaseNotHeld(answer.message)
@@ -305,7 +313,7 @@
     ) -> StoredObject | StoreError:
         acted_ago_s = 0.0
         if not self._acting:
-            acted_ago_s = min(_LONG_S, self._clock() - self._acted_s)
+            acted_ago_s = min(_NEVER_ACTED_S, self._clock() - self._acted_s)
         record = LeaseRecord(
             holder, uuid4().hex, self._duration_s, acted_ago_s, self._era
         )
