--- a/features/direct_foreign.feature
+++ b/features/direct_foreign.feature
@@ -1,18 +1,17 @@
 Feature: Entries from other writers
 
-  Rule: An entry from another writer names no upstream to use
+  Rule: An invalid entry from another writer adds no upstream
 
     Background:
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
       And a direct router
 
-    Scenario: Entries with fields missing or of another type
-      # Symptom: requests go to an address where no upstream is, and fail.
-      # Sequence: somebody writes an entry that lacks a field, or has one of
-      #   another type; what it lacks is filled in.
-      # Cause: only the entry's service and address were asked for.
-      When entries are written of which each lacks one of these
+    Scenario: Entries with fields that are missing or invalid
+      # Guards against requests to an address where no upstream is: an entry
+      # from another writer may lack a field or have one of the wrong type,
+      # which must not be replaced by a default.
+      When entries are written that each lack one of these fields
         | field           |
         | Service         |
         | Address         |
@@ -22,7 +21,7 @@
         | State           |
         | ColdRemainingMs |
         | Sequence        |
-      And entries are written that differ in one field each
+      And entries are written that each have one invalid field
         | field           | value                             |
         | Service         | 5                                 |
         | Service         | ""                                |
@@ -60,7 +59,7 @@
         | born            | 0                                 |
         | born            | true                              |
         | born            | null                              |
-      And entries are written that are no entries at all
+      And values are written that are not entries
         | entry            |
         | null             |
         | 5                |
@@ -68,30 +67,28 @@
         | []               |
         | {}               |
       Then only "reg-1" and "reg-2" are known
-      And they alone get requests
-      And the address that they named received nothing
-
-    Scenario: An entry that is spoilt and then good again
-      # Symptom: requests go to an upstream by what was known of it before
-      #   somebody spoilt its entry.
-      # Sequence: an entry is replaced by one in a state that isn't named.
-      # Cause: an entry that could not be read left the last one in force.
-      When upstream "reg-1" says that it is in a state of its own
+      And only they receive requests
+      And the address in those entries received nothing
+
+    Scenario: An entry that is corrupted and later repaired
+      # Guards against requests to an upstream by the last valid entry after
+      # its entry was replaced by one with an undefined state.
+      When upstream "reg-1" reports an undefined state
       Then soon only "reg-2" receives requests
       When upstream "reg-1" says that it is ready
       Then soon both are known again
 
-    Scenario: An entry that is spoilt and made good within one answer
-      # Symptom: a router does not use an upstream whose entry is good.
-      # Sequence: its entry is spoilt and made good before either is read.
-      # Cause: what an answer told of an entry had lost its order.
-      When the entry of upstream "reg-1" is spoilt and made good at once
+    Scenario: An entry that is corrupted and repaired within one answer
+      # Guards against a router that does not use an upstream with a valid
+      # entry: if an entry is corrupted and repaired before the router reads
+      # either change, their order in the answer counts.
+      When the entry of upstream "reg-1" is corrupted and repaired at once
       Then only "reg-1" and "reg-2" are known
 
-    Scenario: Bytes that can't be read spoil no other entry
-      # Symptom: a router learns of no change of any upstream.
-      # Sequence: the bytes of one entry are no text, or break off.
-      # Cause: a page or an answer was decoded as a whole.
+    Scenario: Undecodable bytes do not affect other entries
+      # Guards against a router that misses the changes of all upstreams
+      # because the bytes of one entry are not text or are truncated, and a
+      # page or an answer is decoded as a whole.
       When entries are written whose bytes are
         | bytes                       |
         | "\xff\xfe"                  |
@@ -101,53 +98,47 @@
         | {"Slots": 1                 |
         | {"Service": "reg            |
         | nested                      |
-      Then an upstream that comes then is used
+      Then an upstream that registers afterwards is used
       And a router that starts now knows it too
 
-  Rule: What other writers leave elsewhere holds nothing up
+  Rule: Objects of other writers block no operation
 
     Background:
       Given a store with a configuration
       And engines "eng-1" and "eng-2"
 
     Scenario: Engines that no route uses
-      # Symptom: an address is asked for reports and given orders where no
-      #   upstream of the deployment is.
-      # Sequence: an entry names a service that no configuration holds, or
-      #   an engine's entry names no models.
-      # Cause: orders went to whatever has a model, prompts to whatever has
-      #   an engine's service.
+      # Guards against reports requested from, and orders sent to, an address
+      # where no upstream of the deployment is. An entry may name a service
+      # that is not configured, or an engine's entry may name no models.
       Given an engine's entry that names an unknown service
       And an engine's entry that names no models
       And a direct router
       When new weights are named
       Then all engines have them, by orders of one holder
-      And prompts are answered by the other engines alone
-      And the address that they named received nothing
-
-    Scenario: Weights that an entry of an unknown service names
-      # Symptom: a while after an odd entry was written all prompts are
-      #   refused.
-      # Sequence: an entry of a service that no configuration holds tells of
-      #   weights that nobody named; older ones are overdue some seconds later.
-      # Cause: what any entry tells was taken for named.
+      And prompts are answered by the other engines only
+      And the address in those entries received nothing
+
+    Scenario: Weights in an entry of an unknown service
+      # Guards against refusing all prompts some seconds after an entry of a
+      # service that is not configured reported weights that were never
+      # released: they must not make the current weights overdue.
       Given an entry of an unknown service that has version 99
       And a direct router
-      Then the router takes version 1 for the one named last
+      Then the router uses version 1 as the current release
 
-    Scenario: The lease is not held for years by garbage
-      # Symptom: new weights are never loaded.
-      # Sequence: somebody writes a lease record that is none, or that says
-      #   it lasts for years.
-      # Cause: a record's word for how long it lasts was not bounded.
+    Scenario: A lease record of excessive duration does not block the lease
+      # Guards against new weights that are never loaded because another writer
+      # wrote a lease record that lasts for years: the duration in a record is
+      # bounded.
       Given a lease record {"holder": "x", "nonce": "y", "duration_s": 1e9}
       And a direct router
-      Then the router soon holds the lease, as if another had just acted
+      Then the router soon holds the lease as if another holder had just acted
 
-    Scenario Outline: The lease is not held by garbage
+    Scenario Outline: An invalid lease record does not block the lease
       Given a lease record <record>
       And a direct router
-      Then the router soon holds the lease, as if another had just acted
+      Then the router soon holds the lease as if another holder had just acted
 
       Examples:
         | record                                                         |
@@ -157,22 +148,20 @@
         | garbage                                                        |
         | 5                                                              |
 
-    Scenario: Routers are not counted by garbage
-      # Symptom: routers refuse requests, as each takes its part of what all
-      #   share for smaller than it is.
-      # Sequence: somebody writes entries among those of the routers.
-      # Cause: every entry counted as a router.
-      Given 5 entries of others among those of the routers
+    Scenario: Invalid entries are not counted as routers
+      # Guards against refused requests: each router takes its fraction of what
+      # all routers share, which is too small if entries of other writers count
+      # as routers.
+      Given 5 entries of other writers among those of the routers
       And a direct router
-      Then the router counts itself alone
+      Then the router counts only itself
 
-    Scenario Outline: Objects beside the configuration that counts
-      # Symptom: a router refuses all keys, or all paths.
-      # Sequence: somebody writes another object of the configuration's kind.
-      # Cause: each object of the kind was taken for the configuration.
+    Scenario Outline: Other objects of the configuration's kind
+      # Guards against a router that refuses all keys or all paths because it
+      # takes another object of the configuration's kind for the configuration.
       Given a direct router
-      When somebody writes <object> beside the configuration
-      Then the configuration stays in force and keys are known
+      When another writer writes <object> next to the configuration
+      Then the configuration stays active and its keys are valid
 
       Examples:
         | object                                             |
@@ -180,15 +169,15 @@
         | {"Version": "99"}                                  |
         | 5                                                  |
 
-    Scenario Outline: Odd versions of weights
+    Scenario Outline: Invalid releases of weights
       Given a direct router
       When new weights are named
-      And somebody names the weights <named>
+      And another writer writes the release <release>
       Then all engines have them, by orders of one holder
       And prompts are answered
 
       Examples:
-        | named                             |
+        | release                           |
         | {"Model": 5, "Version": 9}        |
         | {"Model": "", "Version": 9}       |
         | {"Model": "tutor", "Version": "9"} |
@@ -200,18 +189,18 @@
         | {"Version": 9}                    |
         | [9]                               |
 
-  Rule: Whatever is written, the good entries hold
+  Rule: Valid entries stay in use whatever else is written
 
-    Scenario Outline: Random spoilt entries among good ones
-      # A seeded run: entries of upstreams, weights and the system's own
-      # kinds are changed at random and written beside good ones.
+    Scenario Outline: Random corrupted entries among valid ones
+      # With a seeded generator, entries of upstreams, weights and the
+      # system's own kinds are corrupted and written next to valid ones.
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
       And engines "eng-1" and "eng-2"
       And a direct router
-      When <count> random spoilt entries of seed <seed> are written
-      Then the good upstreams alone are known and serve
-      And the address that they named received nothing
+      When <count> random corrupted entries with seed <seed> are written
+      Then only the valid upstreams are known and serve
+      And the address in those entries received nothing
       When new weights are named
       Then all engines soon have them
 
--- a/features/direct_many_routes.feature
+++ b/features/direct_many_routes.feature
@@ -14,22 +14,21 @@
       | /z           | /       |
       | /?q=/a/b/    | /       |
 
-  Scenario: Of two routes with one prefix the first counts
+  Scenario: Of two routes with the same prefix the first is used
     Given a route "/a/" to "first" and then one to "second"
     Then "/a/x" leads to the service "first"
 
-  Scenario: A route that did not change is not decoded anew
-    # Symptom: all streams of a router stop for a tenth of a second when a
-    #   route changes.
-    # Sequence: a configuration is written whole for each change; all of its
-    #   thousands of routes are decoded and built again.
-    # Cause: nothing of what was known was used.
-    Given a configuration of 3000 routes that was decoded
-    When it is decoded with a route more and one changed
-    Then 2999 routes are those of before and all are as written
+  Scenario: An unchanged route is not decoded again
+    # Guards against an interruption of all streams of a router for a tenth of
+    # a second when a route changes. The whole configuration is written at each
+    # change, so decoding must reuse the objects of its thousands of unchanged
+    # routes.
+    Given a decoded configuration of 3000 routes
+    When it is decoded with one route added and one changed
+    Then 2999 routes are reused and all are as written
 
-  Scenario: A configuration with an unreadable route changes nothing
-    Given a configuration of 3 routes that was decoded
-    When one with an unreadable route is refused
-    And it is decoded with a route more and one changed
-    Then 2 routes are those of before and all are as written
+  Scenario: A configuration with an invalid route changes nothing
+    Given a decoded configuration of 3 routes
+    When a configuration with an invalid route is rejected
+    And it is decoded with one route added and one changed
+    Then 2 routes are reused and all are as written
--- a/features/direct_narrow.feature
+++ b/features/direct_narrow.feature
@@ -1,41 +1,39 @@
-Feature: A direct router on a link that a large configuration fills
+Feature: A direct router on a link saturated by a large configuration
 
   # Routers' links may carry 5 Mbit/s, and a configuration may grow to 1 MiB.
 
-  Rule: A configuration that keeps arriving comes into force
+  Rule: A configuration that arrives slowly becomes active
 
     Background:
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
-      And keys that must be refused 5 s after they were taken away
+      And keys that must be refused 5 s after they were revoked
 
     Scenario: A large change on a narrow link
-      # Symptom: routers on narrow links never learn a configuration, refuse
-      #   all keys, and their links are full of it for ever.
-      # Sequence: a configuration grows; its answer takes longer than the
-      #   time allowed for a call; each call is given up with most of its
-      #   answer received, and the next begins with the first byte.
-      # Cause: one limit on the whole of a transfer, whatever its size.
+      # Guards against a router that never receives a configuration, refuses
+      # all keys and saturates its link. If one time limit applied to a whole
+      # call whatever its size, a large answer would be abandoned before its
+      # end, and the next call would start again with the first byte.
       Given a direct router
-      And a caller with a key that keeps asking
+      And a caller with a key that sends requests continuously
       When the configuration grows by 3000 routes on a link that needs 2 s
       Then its last route is served within 6 s
       And no request with a key was refused meanwhile
 
-    Scenario: A large configuration is the first that a router reads
-      # Symptom, sequence and cause as above, at a start: the router never
-      #   becomes ready.
+    Scenario: A router starts on a narrow link with a large configuration
+      # Guards against a router that never becomes ready, for the same reason
+      # as above.
       When the configuration grows by 3000 routes on a link that needs 2 s
       And a router starts on that link
       Then its last route is served within 6 s
 
     Scenario: Large changes that follow each other on a narrow link
-      # Symptom: routers refuse keys for a moment though the store answers.
-      # Sequence: a large change takes seconds to arrive; the next call waits
-      #   its whole time; another large change follows.
-      # Cause: the wait did not depend on what was confirmed.
+      # Guards against refusing keys for a moment though the store answers. A
+      # large change takes seconds to arrive; the next call waits its whole
+      # time, and another large change follows. So the wait of a call must
+      # depend on what is confirmed.
       Given a direct router
-      And a caller with a key that keeps asking
+      And a caller with a key that sends requests continuously
       When the configuration grows by 3000 routes on a link that needs 2 s
       Then its last route is served within 6 s
       And no request with a key was refused meanwhile
@@ -44,41 +42,39 @@
       And no request with a key was refused meanwhile
 
     Scenario: A large answer that all others wait behind
-      # Symptom: nothing but a configuration works while it arrives.
-      # Sequence: its answer fills the queue before a narrow link; answers
-      #   about upstreams, weights and the lease come seconds late.
-      # Cause: a late answer was taken for a store that is away.
+      # Guards against a router that cannot do anything while a configuration
+      # arrives. The answer fills the queue of a narrow link, and answers about
+      # upstreams, weights and the lease arrive seconds late; a late answer
+      # does not mean that the store is unreachable.
       Given engines "eng-1" and "eng-2"
       And a direct router
-      And a caller with a key that keeps asking
-      And a link that brings one answer after the other
+      And a caller with a key that sends requests continuously
+      And a link that sends one answer at a time
       When the configuration grows by 3000 routes on a link that needs 2 s
       And new weights are named
       Then its last route is served within 6 s
       And the engines have the new weights within 2 s of that
       And no request with a key was refused meanwhile
 
-    Scenario: A large answer that falls silent in its middle
-      # Symptom: a router never learns a configuration.
-      # Sequence: a connection falls silent without a reset in the middle of
-      #   a large answer.
-      # Cause: an answer that has begun is waited for without a limit.
+    Scenario: A large answer that stops before its end
+      # Guards against a router that never receives a configuration because a
+      # connection becomes silent without a reset during a large answer, and an
+      # answer that has started is awaited without a limit.
       Given a direct router
-      When the next answers fall silent after 100000 bytes
+      When the next answers stop after 100000 bytes without a reset
       And the configuration grows by 3000 routes on a link that needs 1 s
-      And the answers are whole again after 2.5 s
+      And the answers are complete again after 2.5 s
       Then its last route is served within 4 s
 
-    Scenario: Connections that break are no reason to read everything anew
-      # Symptom: a router reads a large configuration again at every fault of
-      #   the store, and its link is full meanwhile.
-      # Sequence: waiting calls are cut; the whole collection is read.
-      # Cause: a failed call made what was known count for nothing.
+    Scenario: Broken connections do not cause a reread of the collection
+      # Guards against a link saturated by rereading a large configuration at
+      # every fault of the store: a failed watch must not invalidate the cached
+      # entries.
       Given a direct router
       When all connections to the store break 3 times
       Then the configuration was read once and is still confirmed
 
-  Rule: The narrow link of the stand-in keeps its configured rate
+  Rule: The narrow link of the fake store keeps its configured rate
 
     Scenario: Late wake-ups do not slow a narrow link
       # Guards against a lower link rate when the machine is under load.
--- a/features/direct_store.feature
+++ b/features/direct_store.feature
@@ -1,24 +1,23 @@
 Feature: A direct router and the platform's store
 
-  Rule: What is known of the store's answers is never older than promised
+  Rule: The cluster state is never older than guaranteed
 
     Background:
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
       And a direct router
 
-    Scenario: A key that is taken away is refused
-      When the key of a team is taken away
+    Scenario: A revoked key is refused
+      When the key of a team is revoked
       Then a request with that key soon gets 401
 
     Scenario Outline: Keys are refused while they can't be confirmed
-      # Symptom: a request runs with a key taken away seconds before.
-      # Sequence: the store stops answering one router; a key is taken away;
-      #   the router goes on with the configuration it has.
-      # Cause: a configuration was believed for as long as none newer came.
+      # Guards against requests with a key that was revoked seconds ago. If the
+      # store stops answering one router and a key is revoked, the router must
+      # not use its unconfirmed configuration without a time limit.
       When the store is <mode>
       Then a request with a key soon gets 503
-      And its caller is told to come back at once on a new connection
+      And its caller is asked to retry at once on a new connection
       When the store is calm
       Then a request with a key soon gets 200
 
@@ -29,14 +28,12 @@
         | reset  |
 
     Scenario Outline: Waiting for changes keeps the configuration confirmed
-      # Symptom: a router without faults refuses requests with keys, some
-      #   seconds of each minute.
-      # Sequence: nothing changes; a call waits for a change and returns;
-      #   while the next one waits, what the first confirmed grows older.
-      # Cause: calls waited for a fixed time, whatever the time to refuse
-      #   keys.
-      Given keys that are taken away must be refused within <revoke> seconds
-      Then a call that waits for changes ends well before keys are doubted
+      # Guards against a router without faults that refuses requests with keys
+      # for some seconds of each minute. The last confirmation ages while the
+      # next call waits for changes, so the wait must depend on the time within
+      # which keys must be refused.
+      Given revoked keys must be refused within <revoke> seconds
+      Then a call that waits for changes ends well before keys become invalid
 
       Examples:
         | revoke |
@@ -45,14 +42,12 @@
         | 5      |
         | 30     |
 
-    Scenario Outline: What each answer of the store confirms
-      # Symptom: a router refuses all keys 1.2 s sooner than it must when the
-      #   store goes away.
-      # Sequence: a call waits 1.2 s for changes and returns empty; the store
-      #   goes away; keys are doubted once that call's sending is too old.
-      # Cause: the time that the store had watched was not counted.
-      Given a router that follows a store by calls of 1.2 s
-      When <answer> comes to a call sent <ago> s ago
+    Scenario Outline: Age of the data after each answer of the store
+      # Guards against refusing all keys 1.2 s too early when the store becomes
+      # unreachable. A call that waited 1.2 s and returned no change confirms
+      # the time that the store watched, not only the time of its sending.
+      Given a router that watches a store with calls of 1.2 s
+      When <answer> is received for a call sent <ago> s ago
       Then all changes up to <age> s ago are known
 
       Examples:
@@ -63,23 +58,22 @@
         | no change | 4.0 | 3.8 |
         | no change | 0.2 | 1.0 |
 
-    Scenario: An older configuration never comes back
-      # Symptom: a route that was added is gone again for some requests.
-      # Sequence: a late answer brings an older configuration.
-      # Cause: the last answer was taken, not the highest version.
-      When a route is added and then an older configuration is written
+    Scenario: An earlier configuration is not applied again
+      # Guards against losing an added route for some requests: a late answer
+      # may carry an earlier configuration, so the highest version counts and
+      # not the last answer.
+      When a route is added and then an earlier configuration is written
       Then a request on the new route still gets 200
 
-    Scenario Outline: An entry that can't be read stops nothing
-      # Symptom: a router refuses all keys a few seconds after somebody wrote
-      #   an entry, and does so until it is started again.
-      # Sequence: an entry has a field of another type than agreed; reading
-      #   it ends the task that follows the store.
-      # Cause: one unreadable entry failed the whole answer.
+    Scenario Outline: An invalid entry does not stop the router
+      # Guards against a router that refuses all keys a few seconds after an
+      # invalid entry was written, until it is restarted. One entry with a
+      # field of the wrong type must neither fail the whole answer nor end the
+      # task that watches the store.
       When an entry of an upstream is written with <fields>
-      And the key of a team is taken away
+      And the key of a team is revoked
       Then a request with that key soon gets 401
-      And an upstream that comes then is used
+      And an upstream that registers afterwards is used
 
       Examples:
         | fields                         |
@@ -88,33 +82,32 @@
         | []                             |
         | {"Service": "registry"}        |
 
-    Scenario: A configuration that can't be read confirms no keys
-      # Symptom: a key that was taken away is still served.
-      # Sequence: a configuration without the key is not as agreed in another
-      #   field; it is left out, and the old one goes on.
-      # Cause: the answer with it was taken for a confirmation of the old one.
-      When a configuration is written that can't be read
+    Scenario: An invalid configuration does not confirm keys
+      # Guards against serving a revoked key. A configuration without the key
+      # may be skipped because of another invalid field; the answer with it
+      # must not confirm the previous configuration.
+      When a configuration that can't be decoded is written
       Then a request with a key soon gets 503
 
-    Scenario: A history that is gone is read anew
-      Given the store forgets its history while watches hear nothing
-      When the key of a team is taken away
+    Scenario: The list is reread after the change history expired
+      Given the store discards its history while watches return nothing
+      When the key of a team is revoked
       And the store is calm
       Then a request with that key soon gets 401
 
-    Scenario: More upstreams than a page of the list holds
+    Scenario: More upstreams than fit into a page of the list
       Given 7 more plain upstreams
       When a router starts now
       Then it sends requests to all of them
 
-  Rule: Upstreams come and go by their entries
+  Rule: Upstreams are added and removed by their entries
 
     Background:
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
       And a direct router
 
-    Scenario Outline: An upstream that leaves gets nothing new
+    Scenario Outline: A leaving upstream receives no new requests
       When upstream "reg-1" <leaves>
       Then soon only "reg-2" receives requests
 
@@ -123,19 +116,17 @@
         | says that it is leaving   |
         | loses its entry           |
 
-    Scenario: An upstream that was leaving does not come back
-      # Symptom: a request reaches an upstream that is shutting down.
-      # Sequence: its entry says leaving, then a late entry says ready.
-      # Cause: the last entry counted, though leaving is final.
+    Scenario: A leaving upstream does not become ready again
+      # Guards against requests to an upstream that is shutting down: a late
+      # entry may still say "ready", but leaving is final.
       When upstream "reg-1" says that it is leaving and then that it is ready
       Then soon only "reg-2" receives requests
 
-    Scenario: Entries that lapsed in an outage are kept for a while
-      # Symptom: after an outage of the store a router refuses everything.
-      # Sequence: the store is away; the entries of living upstreams lapse;
-      #   the router believes the first list after the outage.
-      # Cause: a missing entry was taken for an upstream that is gone.
-      When the store returns from an outage with no upstream left
+    Scenario: Entries that lapsed during an outage are retained for a while
+      # Guards against refusing everything after an outage of the store. The
+      # entries of live upstreams lapse during the outage, so an entry that is
+      # missing from the first list does not mean that its upstream terminated.
+      When the store recovers from an outage without any upstream entry
       Then a request with a key soon gets 200
       And after a while requests get 503
 
@@ -146,50 +137,46 @@
       And engines "eng-1" and "eng-2"
       And a direct router
 
-    Scenario: Named weights reach all engines
+    Scenario: Named weights are loaded by all engines
       When new weights are named
       Then all engines have them, by orders of one holder
 
     Scenario: Versions named in quick succession
       When three versions of weights are named at once
       Then all engines have the last one
-      And no engine was ordered an older version after a newer one
+      And no engine was ordered an earlier version after a later one
 
     Scenario: A late order is refused by the count of orders
-      # Symptom: an engine goes back to older weights.
-      # Sequence: an order gets no answer; a newer one is carried out; the
-      #   late one arrives.
-      # Cause: an order did not say after how many others it was meant.
+      # Guards against an engine that goes back to earlier weights: an order
+      # without an answer may arrive after a later one was executed. Each order
+      # carries the count of orders that must precede it.
       When new weights are named
-      Then every order names the count of orders taken before it
-
-    Scenario: Entries that go on naming old weights stop no router
-      # Symptom: a router refuses all prompts for ever; the others serve.
-      # Sequence: engines load new weights; their entries still name the old
-      #   ones; a router starts and, once the old are overdue, leaves all
-      #   engines out. It sends nothing, so no answer tells it better.
-      # Cause: an engine was judged only by what its entry says.
+      Then every order carries the count of orders accepted before it
+
+    Scenario: Entries with outdated weights do not block a new router
+      # Guards against a router that refuses all prompts for ever while others
+      # serve. The entries still carry the old weights after the engines loaded
+      # new ones. A router that starts and trusts only the entries excludes all
+      # engines once the old weights are overdue; as it sends nothing, no
+      # answer corrects it.
       Given a second direct router
-      When engines load new weights that their entries never name
-      Then a router that starts now answers prompts when old ones are overdue
+      When engines load new weights without updating their entries
+      Then a router that starts now serves prompts when old weights are overdue
 
-    Scenario: A second router takes over when the first is gone
-      # Symptom: new weights are never loaded.
-      # Sequence: the router that gives orders dies.
-      # Cause: nobody else may give orders.
+    Scenario: A second router takes over when the first has terminated
+      # Guards against new weights that are never loaded because the router
+      # that gives orders died and no other may give them.
       Given a second direct router
-      When the router that gives orders dies and new weights are named
+      When the lease holder dies and new weights are named
       Then all engines have them, by orders of the other holder
       And the fencing number has grown
 
-    Scenario: A holder that stops while it renews releases its lease
-      # Symptom: new weights wait for six seconds when routers are restarted
-      #   in turn.
-      # Sequence: the holder of orders is stopped while the store has not
-      #   answered its renewal yet.
-      # Cause: the renewal was given up; its version stayed unknown, so that
-      #   the release met a conflict.
-      When the router that gives orders stops in the middle of a renewal
+    Scenario: A holder that stops during a renewal releases its lease
+      # Guards against a delay of six seconds for new weights in a rolling
+      # restart. If the holder stops before the store answered its renewal and
+      # abandons the call, it does not know the new version, and its release
+      # meets a conflict.
+      When the lease holder stops during a renewal
       Then nobody holds the lease
 
     Scenario Outline: The lease survives answers that are lost or late
@@ -202,22 +189,21 @@
         | loses |
         | late  |
 
-  Rule: A drain cuts nothing
+  Rule: A drain interrupts no request
 
     Background:
       Given a store with a configuration
       And plain upstreams "reg-1" and "reg-2"
       And a direct router
 
-    Scenario: Open requests are finished
-      # Symptom: a caller's answer is cut when a router is restarted.
-      # Sequence: a request is under way when the stop comes.
-      # Cause: connections were closed before their answers were out.
+    Scenario: Open requests are completed
+      # Guards against an interrupted answer in a restart: connections must not
+      # be closed before the answers of open requests are sent.
       Given all upstreams hold their answers
-      When a router is stopped during a request and the answers go on
-      Then the request gets 200 and the end of its connection is announced
+      When a router is stopped during a request and the answers are released
+      Then the request gets 200 and "Connection: close"
       And the router is not ready
 
-    Scenario: A kept connection is closed after its next answer
-      When a router is stopped and a request comes on a kept connection
-      Then the request gets 200 and the end of its connection is announced
+    Scenario: An idle connection is closed after its next answer
+      When a router is stopped and a request arrives on an idle connection
+      Then the request gets 200 and "Connection: close"
--- a/features/steps/direct_store_steps.py
+++ b/features/steps/direct_store_steps.py
@@ -1,4 +1,4 @@
-"""Check a direct router's view of the platform's store."""
+"""Test how direct routers follow the platform's store, and their drain."""
 
 import http.client
 import json
@@ -39,72 +39,72 @@
 
 @given('{count:d} more plain upstreams')
 def step_more(context: Context, count: int) -> None:
-    """Register upstreams beyond one page."""
+    """Register more upstreams than fit into one page."""
     for number in range(count):
         direct_bench(context).add_upstream(f'more-{number}', 'registry')
 
 
-@given('keys that are taken away must be refused within {revoke_s:d} seconds')
+@given('revoked keys must be refused within {revoke_s:d} seconds')
 def step_revoke_within(context: Context, revoke_s: int) -> None:
-    """Set the bound."""
+    """Set the time within which revoked keys must be refused."""
     context.revoke_s = float(revoke_s)
 
 
-@then('a call that waits for changes ends well before keys are doubted')
+@then('a call that waits for changes ends well before keys become invalid')
 def step_confirmed(context: Context) -> None:
-    """Compare the age that the configuration reaches with the limit."""
+    """Compare the maximum age of the configuration with the limit."""
     wait_s = routing_config_wait_s(context.revoke_s)
-    oldest_s = wait_s + watch_gap_s(context.revoke_s)
+    max_age_s = wait_s + watch_gap_s(context.revoke_s)
     limit_s = keys_valid_s(context.revoke_s)
     assert wait_s > 0
-    assert oldest_s <= 0.81 * limit_s < context.revoke_s, oldest_s
+    assert max_age_s <= 0.81 * limit_s < context.revoke_s, max_age_s
 
 
-@given('a router that follows a store by calls of {wait_s:f} s')
+@given('a router that watches a store with calls of {wait_s:f} s')
 def step_follows(context: Context, wait_s: float) -> None:
-    """Make a follower that nothing runs."""
-    context.clock = boot_s()
-    context.followed = CollectionWatcher(
-        'entries', _Unused(), wait_s, Random()
+    """Create a watcher whose task does not run."""
+    context.started_s = boot_s()
+    context.watcher = CollectionWatcher(
+        'entries', _UnreadCollection(), wait_s, Random()
     )
 
 
-@when('{answer} comes to a call sent {ago_s:f} s ago')
+@when('{answer} is received for a call sent {ago_s:f} s ago')
 def step_answer(context: Context, answer: str, ago_s: float) -> None:
-    """Hand an answer over."""
+    """Confirm the watcher's data by an answer."""
     answers: dict[str, Listing[int] | Changes[int]] = {
         'a list': Listing({}, 1),
         'a change': Changes((('a', 1),), 2),
         'no change': Changes((), 1),
     }
-    context.followed.confirm(answers[answer], context.clock - ago_s)
+    context.watcher.confirm(answers[answer], context.started_s - ago_s)
 
 
 @then('all changes up to {age_s:f} s ago are known')
 def step_known(context: Context, age_s: float) -> None:
-    """Compare the age, but for the time that the scenario takes."""
-    known_s = context.followed.age_s
-    took_s = boot_s() - context.clock
-    assert age_s - ROUNDING_S <= known_s <= age_s + took_s + ROUNDING_S
+    """Compare the age, allowing for the time that the scenario takes."""
+    actual_s = context.watcher.age_s
+    elapsed_s = boot_s() - context.started_s
+    assert age_s - ROUNDING_S <= actual_s <= age_s + elapsed_s + ROUNDING_S
 
 
-class _Unused:
-    """Stand for a collection that nobody asks."""
+class _UnreadCollection:
+    """Serve as a collection that is never read."""
 
     async def read(self) -> Listing[int] | StoreError:
-        """Give nothing."""
+        """Fail, as this must not be called."""
         raise NotImplementedError
 
     async def changes(
         self, since: int, wait_s: float
     ) -> Changes[int] | HistoryExpired | StoreError:
-        """Give nothing."""
+        """Fail, as this must not be called."""
         raise NotImplementedError
 
 
-@given('the store forgets its history while watches hear nothing')
-def step_deaf(context: Context) -> None:
-    """Have watches hear nothing, then forget what happened."""
+@given('the store discards its history while watches return nothing')
+def step_watches_return_nothing(context: Context) -> None:
+    """Let watches miss changes; the store is compacted when it recovers."""
     bench = direct_bench(context)
     bench.store.mode = StoreMode.DEAF
 
@@ -118,22 +118,22 @@
 
 
 @given('the store {mode} the answers of writes for a while')
-def step_lossy(context: Context, mode: str) -> None:
-    """Lose answers, and end that from a timer."""
+def step_write_answers(context: Context, mode: str) -> None:
+    """Lose or delay answers to writes until a timer ends it."""
     bench = direct_bench(context)
     bench.store.mode = MODES[mode]
-    timer = threading.Timer(1.0, _calm, [context])
+    timer = threading.Timer(1.0, _restore_store, [context])
     timer.start()
     context.resources.callback(timer.join)
 
 
-def _calm(context: Context) -> None:
+def _restore_store(context: Context) -> None:
     direct_bench(context).store.mode = StoreMode.CALM
 
 
 @when('the store is {mode}')
 def step_mode(context: Context, mode: str) -> None:
-    """Set how the store treats calls."""
+    """Set how the store handles calls; compact it after missed changes."""
     bench = direct_bench(context)
     if bench.store.mode is StoreMode.DEAF:
         bench.on_loop(bench.store.compact)
@@ -141,22 +141,22 @@
 
 
 @when('an entry of an upstream is written with {fields}')
-def step_odd_entry(context: Context, fields: str) -> None:
-    """Write an entry as it is."""
+def step_invalid_entry(context: Context, fields: str) -> None:
+    """Write an entry with exactly these fields."""
     bench = direct_bench(context)
     bench.on_loop(
         lambda: bench.store.put('servers', 'odd', json.loads(fields))
     )
 
 
-@when("a configuration is written that can't be read")
-def step_odd_configuration(context: Context) -> None:
-    """Write one whose routes are no list."""
+@when("a configuration that can't be decoded is written")
+def step_invalid_configuration(context: Context) -> None:
+    """Write a configuration whose routes are not a list."""
     direct_bench(context).configure(Routes=5)
 
 
-@then('an upstream that comes then is used')
-def step_comes(context: Context) -> None:
+@then('an upstream that registers afterwards is used')
+def step_registers(context: Context) -> None:
     """Add an upstream and wait until the router knows it."""
     bench = direct_bench(context)
     bench.add_upstream('late', 'registry')
@@ -165,7 +165,7 @@
     )
 
 
-@when('the key of a team is taken away')
+@when('the key of a team is revoked')
 def step_revoke(context: Context) -> None:
     """Write a configuration without the key."""
     direct_bench(context).configure(
@@ -173,53 +173,53 @@
     )
 
 
-@when('a route is added and then an older configuration is written')
-def step_older(context: Context) -> None:
-    """Write a newer and then an older configuration."""
+@when('a route is added and then an earlier configuration is written')
+def step_earlier_configuration(context: Context) -> None:
+    """Write a later and then an earlier configuration."""
     bench = direct_bench(context)
-    older = dict(bench.config)
+    earlier = dict(bench.config)
     added = route('/added/', 'idempotent', 'registry')
     bench.configure(Routes=[*bench.config['Routes'], added])
     bench.until(lambda: bench.ask('/added/1').status == 200, 'the new route')
-    bench.on_loop(lambda: bench.store.put('config', 'main', older))
+    bench.on_loop(lambda: bench.store.put('config', 'main', earlier))
     bench.run(sleep(0.3))
 
 
 @when('a router starts now')
 def step_start(context: Context) -> None:
-    """Replace the router by one that reads the whole list at once."""
+    """Replace the router by a new one, which reads the whole list."""
     bench = direct_bench(context)
-    old = bench.routers.pop()
-    bench.run(old.close())
+    previous = bench.routers.pop()
+    bench.run(previous.close())
     bench.start_router('router-9')
     bench.until_ready()
 
 
 @when('upstream "{name}" says that it is leaving')
 def step_leaving(context: Context, name: str) -> None:
-    """Change its entry."""
+    """Write its entry with the state of a leaving upstream."""
     direct_bench(context).register(name, 'draining')
 
 
 @when('upstream "{name}" loses its entry')
 def step_removed(context: Context, name: str) -> None:
-    """Remove its entry."""
+    """Remove its entry from the store."""
     bench = direct_bench(context)
     bench.on_loop(lambda: bench.store.remove('servers', name))
 
 
 @when('upstream "{name}" says that it is leaving and then that it is ready')
-def step_back(context: Context, name: str) -> None:
-    """Change its entry twice."""
+def step_leaving_then_ready(context: Context, name: str) -> None:
+    """Write its entry as leaving and then as ready."""
     bench = direct_bench(context)
     bench.register(name, 'draining')
     bench.run(sleep(0.3))
     bench.register(name, 'ready')
 
 
-@when('the store returns from an outage with no upstream left')
-def step_lapse(context: Context) -> None:
-    """Remove all entries while the store is away."""
+@when('the store recovers from an outage without any upstream entry')
+def step_entries_lapse(context: Context) -> None:
+    """Remove all upstream entries while the store is unreachable."""
     bench = direct_bench(context)
     bench.store.mode = StoreMode.RESET
     bench.run(sleep(0.3))
@@ -228,7 +228,7 @@
     bench.store.mode = StoreMode.CALM
 
 
-@when('a router is stopped during a request and the answers go on')
+@when('a router is stopped during a request and the answers are released')
 def step_stop_during(context: Context) -> None:
     """Stop the router while a caller waits for its answer."""
     bench = direct_bench(context)
@@ -246,16 +246,16 @@
     stopping.join()
 
 
-@when('a router is stopped and a request comes on a kept connection')
-def step_kept(context: Context) -> None:
+@when('a router is stopped and a request arrives on an idle connection')
+def step_idle_connection(context: Context) -> None:
     """Use one connection before and after the stop begins."""
     bench = direct_bench(context)
     connection: http.client.HTTPConnection = bench.connect()
     bench.ask_on(connection, '/records/1')
-    front = bench.routers[0]._caller_server
-    # A stop between an answer and the wait for the next request ends the
-    # connection at once; here it is to be quiet when the stop comes.
-    bench.until(lambda: len(front._quiet) == 1, 'a quiet connection')
+    server = bench.routers[0]._caller_server
+    # A stop between an answer and the wait for the next request closes the
+    # connection at once; this scenario needs it to be idle before the stop.
+    bench.until(lambda: len(server._quiet) == 1, 'an idle connection')
     stopping = threading.Thread(
         target=lambda: bench.run(bench.routers[0].stop())
     )
@@ -268,13 +268,13 @@
 @then('a request with that key soon gets {status:d}')
 @then('a request with a key soon gets {status:d}')
 def step_soon(context: Context, status: int) -> None:
-    """Ask until the status comes."""
+    """Send requests until the status is received."""
     bench = direct_bench(context)
     bench.until(lambda: bench.ask(key=KEY).status == status, f'a {status}')
 
 
-@then('its caller is told to come back at once on a new connection')
-def step_elsewhere(context: Context) -> None:
+@then('its caller is asked to retry at once on a new connection')
+def step_retry_elsewhere(context: Context) -> None:
     """Check the headers of the last answer."""
     headers = direct_bench(context).answer.headers
     assert headers['Connection'] == 'close', headers
@@ -283,47 +283,51 @@
 
 @then('a request on the new route still gets 200')
 def step_still(context: Context) -> None:
-    """Ask on the added route."""
+    """Send a request on the added route."""
     assert direct_bench(context).ask('/added/2').status == 200
 
 
 @then('it sends requests to all of them')
 def step_all(context: Context) -> None:
-    """Ask until each upstream was used."""
+    """Send requests until each upstream has received one."""
     bench = direct_bench(context)
 
     def all_used() -> bool:
         bench.ask()
-        return all(one.received for one in bench.upstreams.values())
+        return all(upstream.received for upstream in bench.upstreams.values())
 
     bench.until(all_used, 'a request at every upstream')
 
 
 @then('soon only "{name}" receives requests')
 def step_only(context: Context, name: str) -> None:
-    """Wait until the other upstream is left out, then look on."""
+    """Wait until the other upstreams get no requests, and check again."""
     bench = direct_bench(context)
-    others = [one for key, one in bench.upstreams.items() if key != name]
-
-    def left_out() -> bool:
-        before = [len(one.received) for one in others]
+    excluded = [
+        upstream
+        for upstream_id, upstream in bench.upstreams.items()
+        if upstream_id != name
+    ]
+
+    def is_excluded() -> bool:
+        before = [len(upstream.received) for upstream in excluded]
         for _ in range(6):
             bench.ask()
-        return before == [len(one.received) for one in others]
+        return before == [len(upstream.received) for upstream in excluded]
 
-    bench.until(left_out, 'no more requests at the other upstream')
-    assert left_out()
+    bench.until(is_excluded, 'no more requests at the other upstream')
+    assert is_excluded()
 
 
 @then('after a while requests get 503')
-def step_gone(context: Context) -> None:
-    """Ask until the lapsed entries are no longer believed."""
+def step_lapsed(context: Context) -> None:
+    """Send requests until the lapsed entries are no longer retained."""
     step_soon(context, 503)
 
 
-@then('the request gets 200 and the end of its connection is announced')
-def step_announced(context: Context) -> None:
-    """Check the last answer."""
+@then('the request gets 200 and "Connection: close"')
+def step_connection_close(context: Context) -> None:
+    """Check the status and the header of the last answer."""
     answer: Answer = direct_bench(context).answer
     assert answer.status == 200, answer
     assert answer.headers.get('Connection') == 'close', answer
@@ -331,5 +335,5 @@
 
 @then('the router is not ready')
 def step_not_ready(context: Context) -> None:
-    """Check the readiness."""
+    """Check that it reports itself as not ready."""
     assert not direct_bench(context).routers[0].ready
--- a/features/steps/lease_orders_steps.py
+++ b/features/steps/lease_orders_steps.py
@@ -1,4 +1,4 @@
-"""Check how routers take turns in ordering engines to load weights."""
+"""Test that one router at a time orders engines to load weights."""
 
 import threading
 from typing import Any
@@ -13,65 +13,65 @@
 
 
 @when('new weights are named')
-def step_name(context: Context) -> None:
-    """Name the next version."""
-    _name(context, 2)
+def step_release(context: Context) -> None:
+    """Release the next version."""
+    _release_weights(context, 2)
 
 
 @when('three versions of weights are named at once')
 def step_three(context: Context) -> None:
-    """Name versions faster than they can be loaded."""
+    """Release versions faster than they can be loaded."""
     for version in (2, 3, 4):
-        _name(context, version)
+        _release_weights(context, version)
 
 
-@when('the router that gives orders dies and new weights are named')
+@when('the lease holder dies and new weights are named')
 def step_holder_dies(context: Context) -> None:
-    """End the lease's holder without a release."""
+    """Terminate the lease holder without releasing the lease."""
     bench = direct_bench(context)
-    bench.until(lambda: bool(_holder(context)), 'a holder')
+    bench.until(lambda: bool(_holder(context)), 'a lease holder')
     context.first_holder = _holder(context)
-    names = ['router-1', 'router-2']
-    index = names.index(context.first_holder)
+    router_ids = ['router-1', 'router-2']
+    index = router_ids.index(context.first_holder)
     router = bench.routers.pop(index)
-    context.first_fence = _fence(context)
+    context.first_revision = _store_revision(context)
     bench.run(router.close())
-    _name(context, 2)
+    _release_weights(context, 2)
 
 
-@when('the router that gives orders stops in the middle of a renewal')
+@when('the lease holder stops during a renewal')
 def step_stops_renewing(context: Context) -> None:
-    """Hold the answer to a write back until the stop has begun."""
+    """Withhold the answer to a write until the stop has begun."""
     bench = direct_bench(context)
-    bench.until(lambda: bool(_holder(context)), 'a holder')
+    bench.until(lambda: bool(_holder(context)), 'a lease holder')
     store = bench.store
     bench.on_loop(store.answers_writes.clear)
-    bench.until(lambda: store.writes_held > 0, 'a renewal under way')
+    bench.until(lambda: store.writes_held > 0, 'a renewal in progress')
     stopping = threading.Thread(
         target=lambda: bench.run(bench.routers[0].stop())
     )
     stopping.start()
-    bench.until(lambda: not bench.routers[0].ready, 'a stop that has begun')
+    bench.until(lambda: not bench.routers[0].ready, 'a router that stops')
     bench.on_loop(store.answers_writes.set)
     stopping.join()
 
 
 @then('nobody holds the lease')
 def step_released(context: Context) -> None:
-    """Look at the lease's holder."""
-    assert _holder(context) == '', _lease(context)
+    """Check that the stored lease names no holder."""
+    assert _holder(context) == '', _lease_text(context)
 
 
-@when('engines load new weights that their entries never name')
-def step_unnamed(context: Context) -> None:
-    """Load new weights; the stand-ins' entries stay as they are."""
-    _name(context, 2)
-    _until_weights(context, 2)
+@when('engines load new weights without updating their entries')
+def step_outdated_entries(context: Context) -> None:
+    """Load new weights; fake upstreams never update their entries."""
+    _release_weights(context, 2)
+    _wait_for_weights(context, 2)
 
 
-@then('a router that starts now answers prompts when old ones are overdue')
+@then('a router that starts now serves prompts when old weights are overdue')
 def step_overdue(context: Context) -> None:
-    """Start a router, wait until older weights are refused, then ask it."""
+    """Start a router and send it a prompt once old weights are overdue."""
     bench = direct_bench(context)
     router = bench.start_router('router-3')
     bench.routers.remove(router)
@@ -79,17 +79,17 @@
     bench.until_ready()
     limit_s = BOUNDS.weights_s * OLD_WEIGHTS_FRACTION
 
-    def overdue() -> bool:
+    def is_overdue() -> bool:
         return router.weights_age_s(MODEL) > limit_s
 
-    bench.until(overdue, 'weights that are overdue')
+    bench.until(is_overdue, 'overdue weights')
     assert bench.ask_model().status == 200, bench.answer
 
 
 @then('all engines have them, by orders of one holder')
 def step_loaded(context: Context) -> None:
-    """Wait for the weights and look at who ordered them."""
-    _until_weights(context, 2)
+    """Wait for the weights and check which router ordered them."""
+    _wait_for_weights(context, 2)
     holders = {order['Holder'] for order in _orders(context)}
     assert holders == {'router-1'}, holders
 
@@ -97,21 +97,21 @@
 @then('all engines have the last one')
 def step_last(context: Context) -> None:
     """Wait for the last version."""
-    _until_weights(context, 4)
+    _wait_for_weights(context, 4)
 
 
-@then('no engine was ordered an older version after a newer one')
+@then('no engine was ordered an earlier version after a later one')
 def step_order(context: Context) -> None:
-    """Look at the orders of each engine."""
+    """Check the sequence of versions ordered from each engine."""
     for upstream in direct_bench(context).upstreams.values():
         versions = [str(order['Version']) for order in upstream.orders]
         assert versions == sorted(versions), versions
 
 
-@then('every order names the count of orders taken before it')
+@then('every order carries the count of orders accepted before it')
 def step_count(context: Context) -> None:
-    """Look at the precondition of each order."""
-    _until_weights(context, 2)
+    """Check the precondition of each order."""
+    _wait_for_weights(context, 2)
     for upstream in direct_bench(context).upstreams.values():
         counts = [order['Precondition'] for order in upstream.orders]
         assert counts == list(range(len(counts))), counts
@@ -119,8 +119,8 @@
 
 @then('all engines have them, by orders of the other holder')
 def step_other(context: Context) -> None:
-    """Wait for the weights and look at who ordered them."""
-    _until_weights(context, 2)
+    """Wait for the weights and check which router ordered them."""
+    _wait_for_weights(context, 2)
     holders = {order['Holder'] for order in _orders(context)}
     assert len(holders) == 1, holders
     assert context.first_holder not in holders, holders
@@ -128,23 +128,24 @@
 
 @then('the fencing number has grown')
 def step_fence(context: Context) -> None:
-    """Compare with the dead holder's."""
+    """Compare with the store's revision when the first holder died."""
     for order in _orders(context):
-        assert order['FencingToken'] > context.first_fence, order
+        assert order['FencingToken'] > context.first_revision, order
 
 
-def _name(context: Context, version: int) -> None:
+def _release_weights(context: Context, version: int) -> None:
     bench = direct_bench(context)
-    named = {'Model': MODEL, 'Version': version}
-    bench.on_loop(lambda: bench.store.put('versions', MODEL, named))
+    release = {'Model': MODEL, 'Version': version}
+    bench.on_loop(lambda: bench.store.put('versions', MODEL, release))
 
 
-def _until_weights(context: Context, version: int) -> None:
+def _wait_for_weights(context: Context, version: int) -> None:
     bench = direct_bench(context)
 
     def loaded() -> bool:
         return all(
-            one.weights[MODEL] == version for one in bench.upstreams.values()
+            upstream.weights[MODEL] == version
+            for upstream in bench.upstreams.values()
         )
 
     bench.until(loaded, f'version {version} on all engines')
@@ -157,19 +158,19 @@
     return orders
 
 
-def _lease(context: Context) -> str:
-    found = direct_bench(context).store.specification(
+def _lease_text(context: Context) -> str:
+    stored = direct_bench(context).store.specification(
         'lacewing-leases', 'weights'
     )
-    return '' if found is None else str(found['text'])
+    return '' if stored is None else str(stored['text'])
 
 
 def _holder(context: Context) -> str:
-    for name in ('router-1', 'router-2'):
-        if f'"holder":"{name}"' in _lease(context):
-            return name
+    for router_id in ('router-1', 'router-2'):
+        if f'"holder":"{router_id}"' in _lease_text(context):
+            return router_id
     return ''
 
 
-def _fence(context: Context) -> int:
+def _store_revision(context: Context) -> int:
     return direct_bench(context).store.revision
--- a/features/steps/many_routes_steps.py
+++ b/features/steps/many_routes_steps.py
@@ -1,4 +1,4 @@
-"""Check how routes are decoded and found."""
+"""Test how routes are decoded and looked up."""
 
 from typing import Any
 
@@ -16,11 +16,11 @@
 def _decode(
     context: Context, version: int, routes: list[dict[str, Any]]
 ) -> RoutingConfig:
-    written = msgspec.json.encode({'Version': version, 'Routes': routes})
-    decoded: RoutingConfig = context.decoder.decode(
-        'main', msgspec.Raw(written)
+    encoded = msgspec.json.encode({'Version': version, 'Routes': routes})
+    config: RoutingConfig = context.decoder.decode(
+        'main', msgspec.Raw(encoded)
     )
-    return decoded
+    return config
 
 
 @given('the routes "{one}", "{two}", "{three}" and "{four}" of one host')
@@ -31,69 +31,73 @@
     context.decoder = RoutingConfigDecoder()
     routes = [route(path, 'idempotent', path) for path in (one, two)]
     routes += [route(path, 'idempotent', path) for path in (three, four)]
-    context.directory = _decode(context, 1, routes)
+    context.routing_config = _decode(context, 1, routes)
 
 
 @given('a route "{path}" to "{one}" and then one to "{two}"')
-def step_twice(context: Context, path: str, one: str, two: str) -> None:
-    """Decode two routes of one prefix."""
+def step_same_prefix(context: Context, path: str, one: str, two: str) -> None:
+    """Decode two routes of the same prefix."""
     context.decoder = RoutingConfigDecoder()
     routes = [route(path, 'idempotent', service) for service in (one, two)]
-    context.directory = _decode(context, 1, routes)
+    context.routing_config = _decode(context, 1, routes)
 
 
-@given('a configuration of {count:d} routes that was decoded')
+@given('a decoded configuration of {count:d} routes')
 def step_decoded(context: Context, count: int) -> None:
-    """Decode it."""
+    """Decode a configuration with so many routes."""
     context.decoder = RoutingConfigDecoder()
     context.routes = [
         route(f'/r/{number}/', 'idempotent', 'registry')
         for number in range(count)
     ]
-    context.directory = _decode(context, 1, context.routes)
+    context.routing_config = _decode(context, 1, context.routes)
 
 
-@when('one with an unreadable route is refused')
-def step_unreadable(context: Context) -> None:
-    """Decode one that fails at its end."""
+@when('a configuration with an invalid route is rejected')
+def step_invalid(context: Context) -> None:
+    """Decode a configuration whose last route is invalid."""
     try:
         _decode(context, 2, [*context.routes, {'Name': 5}])
     except msgspec.DecodeError:
         return
-    raise AssertionError('expected a refusal')
+    raise AssertionError('the configuration was accepted')
 
 
-@when('it is decoded with a route more and one changed')
+@when('it is decoded with one route added and one changed')
 def step_changed(context: Context) -> None:
-    """Decode the next version."""
-    context.before = context.directory
+    """Decode the next version with the same decoder."""
+    context.previous_config = context.routing_config
     context.routes[0] = {**context.routes[0], 'TimeoutMs': 1234}
     context.routes.append(route('/new/', 'idempotent', 'registry'))
-    context.directory = _decode(context, 3, context.routes)
+    context.routing_config = _decode(context, 3, context.routes)
 
 
-@then('"{path}" leads to "{found}"')
-def step_leads(context: Context, path: str, found: str) -> None:
-    """Compare the prefix of the route found."""
-    leads = context.directory.route(f'{HOST}:80', path)
-    assert leads is not None
-    assert leads.path_prefix == found, leads
+@then('"{path}" leads to "{prefix}"')
+def step_prefix(context: Context, path: str, prefix: str) -> None:
+    """Compare the prefix of the matching route."""
+    match = context.routing_config.route(f'{HOST}:80', path)
+    assert match is not None
+    assert match.path_prefix == prefix, match
 
 
 @then('"{path}" leads to the service "{service}"')
 def step_service(context: Context, path: str, service: str) -> None:
-    """Compare the service of the route found."""
-    leads = context.directory.route(HOST, path)
-    assert leads.shares[0].service == service, leads
-
-
-@then('{count:d} routes are those of before and all are as written')
-def step_same(context: Context, count: int) -> None:
-    """Compare with a decoder that knows nothing."""
-    before = {id(one) for one in context.before.routes}
-    same = [one for one in context.directory.routes if id(one) in before]
-    assert len(same) == count, len(same)
+    """Compare the service of the matching route."""
+    match = context.routing_config.route(HOST, path)
+    assert match.shares[0].service == service, match
+
+
+@then('{count:d} routes are reused and all are as written')
+def step_reused(context: Context, count: int) -> None:
+    """Count reused routes; compare all with those of a new decoder."""
+    previous_ids = {id(item) for item in context.previous_config.routes}
+    reused = [
+        item
+        for item in context.routing_config.routes
+        if id(item) in previous_ids
+    ]
+    assert len(reused) == count, len(reused)
     context.decoder = RoutingConfigDecoder()
-    anew = _decode(context, 3, context.routes)
-    assert anew == context.directory
-    assert anew.routes[0].timeout_s == 1.234, anew.routes[0]
+    expected = _decode(context, 3, context.routes)
+    assert expected == context.routing_config
+    assert expected.routes[0].timeout_s == 1.234, expected.routes[0]
