--- a/packages/daemon/src/lacewing_daemon/direct/_attempt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_attempt.py
@@ -1,4 +1,4 @@
-"""Send a request to one upstream once and tell how that ended."""
+"""Send a request to one upstream once and report how that ended."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,19 +19,19 @@
 from lacewing_daemon.direct._upstream import Upstream
 
 _SUCCESS = range(200, 300)
-# How often an answer that is overdue is thought of again.
-AGAIN_S = 0.1
+# Interval at which an answer past its time limit is checked again.
+RECHECK_INTERVAL_S = 0.1
 
 
-def _at_once(_waited_s: float) -> bool:
+def _abandon_immediately(_waited_s: float) -> bool:
     return True
 
 
 class Contact(Enum):
-    """Tell whether an upstream could be reached.
+    """State whether an upstream could be reached.
 
-    REFUSED: nobody listens at its address. UNREACHABLE: no connection
-    could be opened for another reason, as with a lost packet.
+    REFUSED: no process listens at its address. UNREACHABLE: no connection
+    could be opened for another reason, such as a lost packet.
     """
 
     CONNECTED = 'made'
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True)
 class AttemptEnd:
-    """Tell how an attempt ended.
+    """Hold how an attempt ended.
 
-    ``head`` is None when no answer began; ``body`` is that of an answer that
-    was not streamed; ``complete`` if nothing of the answer is missing.
-    ``connection_broken``: the upstream ended the connection before the
-    answer's end; ``opened_s``: when it was opened, on the boot clock.
+    ``head`` is None if no head was received; ``body`` is that of an answer
+    that was not streamed; ``complete``: the whole answer was received.
+    ``connection_broken``: the upstream closed the connection before the end
+    of the answer; ``opened_s``: when it was opened, on the boot clock.
     """
 
     verdict: Verdict
@@ -60,7 +60,7 @@
 
 
 class Attempt:
-    """Be the sink of one answer."""
+    """Receive the answer to one request."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         self._body: list[bytes] = []
         self._ended: asyncio.Future[bool] = asyncio.Future()
         self._last_piece_s = 0.0
-        self._broken = False
+        self._connection_broken = False
         self._opened_s = 0.0
 
     async def run(
@@ -89,13 +89,14 @@
         first_wait_s: float,
         gap_wait_s: float,
         max_idle: int,
-        gives_up: Callable[[float], bool] = _at_once,
+        should_abandon: Callable[[float], bool] = _abandon_immediately,
     ) -> AttemptEnd:
-        """Send the request; cancelled, its connection is closed.
+        """Send the request; cancelling closes the connection.
 
-        ``first_wait_s`` bounds the time to the answer's head and first
-        piece, ``gap_wait_s`` that between pieces. ``gives_up`` is asked then,
-        and again every little while, whether to wait no longer.
+        ``first_wait_s`` bounds the time to the head and first piece of the
+        answer, ``gap_wait_s`` the time between pieces. After these times,
+        ``should_abandon`` is called with the time waited, and again every
+        ``RECHECK_INTERVAL_S``, until it returns true or a piece arrives.
         """
         try:
             connection = await pool.acquire(upstream, not can_retry)
@@ -103,11 +104,13 @@
             return _unreachable(Contact.REFUSED)
         except OSError:
             return _unreachable(Contact.UNREACHABLE)
-        kept = False
+        is_released = False
         try:
             self._send(connection, dispatch)
-            complete = await self._wait(first_wait_s, gap_wait_s, gives_up)
-            end = self._judge(complete)
+            complete = await self._wait_for_end(
+                first_wait_s, gap_wait_s, should_abandon
+            )
+            end = self._classify(complete)
             if (
                 end.complete
                 and end.head is not None
@@ -116,38 +119,38 @@
                 pool.release(
                     upstream, connection, end.head.keep_alive_s, max_idle
                 )
-                kept = True
+                is_released = True
             return end
         finally:
-            if not kept:
-                # Closing also stops the upstream's work on a request that
-                # was given up.
+            if not is_released:
+                # Closing also stops the upstream's work on an abandoned
+                # request.
                 connection.close()
 
     def abort(self) -> None:
-        """Take the answer as broken off."""
+        """End the attempt as if the answer had been interrupted."""
         if not self._ended.done():
             self._ended.set_result(False)
 
     def expects(self, status: int, headers: HTTPHeaders) -> bool:
-        """Tell whether an answer is the one to this request."""
+        """Return whether an answer belongs to this request."""
         head = self._wire.read_reply(status, headers)
         if head.request_id:
             return head.request_id == self._request.request_id
-        # Upstreams name the request in what they ran; only a refusal comes
-        # without it.
+        # Upstreams send the request id with every request they ran; only a
+        # refusal may lack it.
         return head.not_run or head.misdirected
 
     def on_head(self, status: int, headers: HTTPHeaders) -> None:
-        """Take the status and the headers."""
+        """Store the status and the headers of the answer."""
         self._head = self._wire.read_reply(status, headers)
         self._on_head(self._head)
 
     async def on_data(self, piece: bytes) -> None:
-        """Pass a piece of a good stream on; keep any other."""
+        """Pass on a piece of a successful stream; collect any other."""
         head = self._head
         assert head is not None
-        if self._on_piece is not None and _is_good(head):
+        if self._on_piece is not None and _is_signed_success(head):
             self._last_piece_s = asyncio.get_running_loop().time()
             try:
                 await self._on_piece(head, piece)
@@ -158,9 +161,9 @@
         self._body.append(piece)
 
     def on_end(self, complete: bool) -> None:
-        """Learn that the answer ended."""
+        """End the attempt at the end of the answer."""
         if not self._ended.done():
-            self._broken = not complete
+            self._connection_broken = not complete
             self._ended.set_result(complete)
 
     def _send(
@@ -175,40 +178,41 @@
             self,
         )
 
-    async def _wait(
+    async def _wait_for_end(
         self,
         first_wait_s: float,
         gap_wait_s: float,
-        gives_up: Callable[[float], bool],
+        should_abandon: Callable[[float], bool],
     ) -> bool:
-        """Return whether the answer came whole; false if it stalled."""
+        """Return whether the answer is complete; false if it stalled."""
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        self._last_piece_s = began_s
+        start_s = loop.time()
+        self._last_piece_s = start_s
         while True:
             limit_s = gap_wait_s
-            if self._last_piece_s == began_s:
+            if self._last_piece_s == start_s:
                 limit_s = first_wait_s
             waited_s = loop.time() - self._last_piece_s
             left_s = limit_s - waited_s
             if left_s <= 0:
-                if gives_up(waited_s):
+                if should_abandon(waited_s):
                     return False
-                left_s = AGAIN_S
-            # The first piece may come meanwhile, and the gap counts from it.
-            look_s = min(left_s, gap_wait_s)
-            await asyncio.wait((self._ended,), timeout=look_s)
+                left_s = RECHECK_INTERVAL_S
+            # If the first piece arrives meanwhile, the gap limit applies from
+            # then on.
+            timeout_s = min(left_s, gap_wait_s)
+            await asyncio.wait((self._ended,), timeout=timeout_s)
             if self._ended.done():
                 return self._ended.result()
 
-    def _judge(self, complete: bool) -> AttemptEnd:
+    def _classify(self, complete: bool) -> AttemptEnd:
         head = self._head
         body = b''.join(self._body)
         if head is None:
             return AttemptEnd(
                 Verdict.MAY_HAVE_RUN,
                 Reason.WORKER_FAILED,
-                connection_broken=self._broken,
+                connection_broken=self._connection_broken,
                 opened_s=self._opened_s,
             )
         if head.misdirected:
@@ -225,7 +229,7 @@
                 Reason.STREAM_BROKEN,
                 head,
                 body,
-                connection_broken=self._broken,
+                connection_broken=self._connection_broken,
                 opened_s=self._opened_s,
             )
         if not head.is_signed:
@@ -241,5 +245,5 @@
     )
 
 
-def _is_good(head: ReplyHead) -> bool:
+def _is_signed_success(head: ReplyHead) -> bool:
     return head.status in _SUCCESS and head.is_signed
--- a/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
@@ -1,4 +1,4 @@
-"""Take callers' connections and requests."""
+"""Accept callers' connections and read their requests."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -23,13 +23,13 @@
 from lacewing_daemon.direct._metrics import OPEN_REQUESTS
 from lacewing_daemon.direct._site import Wire
 
-# A configuration bounds bodies more tightly; this bounds them before the
-# first one is known.
+# The routing configuration sets a lower limit; this one applies until the
+# first configuration is loaded.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 MAX_HEADER_BYTES = 65536
-# A configuration tells how long callers may leave connections unused; this
-# holds before the first one. This process closes them later by the margin,
-# so that no request crosses its close.
+# The routing configuration sets how long callers may keep connections idle;
+# this applies until the first one is loaded. This process closes them later by
+# the margin, so that no request is sent while the connection is being closed.
 IDLE_S = 15.0
 IDLE_MARGIN_S = 1.0
 
@@ -39,7 +39,7 @@
 
 
 class CallerServer(HTTPServerConnectionDelegate):
-    """Serve callers; one task for each request."""
+    """Serve callers with one task for each request."""
 
     def __init__(self, wire: Wire, serve: Serve) -> None:
         self._wire = wire
@@ -48,9 +48,9 @@
         self._stopping = False
         self._address = ''
         self._used: set[object] = set()
-        self._arriving: set[object] = set()
+        self._receiving: set[object] = set()
         self._quiet: dict[object, HTTP1Connection] = {}
-        self._server = _CallersServer(
+        self._server = _NotifyingServer(
             self,
             idle_connection_timeout=IDLE_S + IDLE_MARGIN_S,
             max_header_size=MAX_HEADER_BYTES,
@@ -66,27 +66,28 @@
     def open_requests(self) -> int:
         """Return the number of requests without a complete answer.
 
-        Those whose bodies are still arriving count: they were begun, and
-        their callers wait.
+        Includes requests whose bodies are still being received: their
+        callers already wait for an answer.
         """
-        return len(self._open) + len(self._arriving)
+        return len(self._open) + len(self._receiving)
 
     def listen(self, host: str, port: int) -> None:
-        """Begin to take connections."""
+        """Start accepting connections."""
         sockets = bind_sockets(port, host, backlog=_BACKLOG)
         bound = sockets[0].getsockname()
         self._address = f'{bound[0]}:{bound[1]}'
         self._server.add_sockets(sockets)
 
     def set_idle_timeout(self, idle_s: float) -> None:
-        """Keep connections open for so long between requests."""
+        """Set how long connections may be idle between requests."""
         self._server.conn_params.header_timeout = idle_s + IDLE_MARGIN_S
 
     def begin_drain(self) -> None:
-        """Close each connection with its next answer.
+        """Close each connection after its next answer.
 
-        Callers keep connections open for many requests; without the notice
-        their next request would meet the end of the process.
+        Callers reuse connections for many requests. Without a
+        ``Connection: close`` header their next request would be sent to a
+        process that is terminating.
         """
         self._stopping = True
         self._server.conn_params.no_keep_alive = True
@@ -94,10 +95,10 @@
             reply.announce_close()
 
     def stop_listening(self) -> None:
-        """Take no new connections; close those without a request.
+        """Accept no new connections; close those without a request.
 
-        A request that came on a kept connection shortly before the end of
-        the process could not be finished.
+        A request that arrived on an idle connection shortly before the
+        process exits could not be completed.
         """
         self._server.stop()
         for connection in tuple(self._quiet.values()):
@@ -116,8 +117,8 @@
         """Read the next request of a connection."""
         assert isinstance(request_conn, HTTP1Connection)
         if self._stopping and server_conn in self._used:
-            # Its last request was read before the stop, by when the answer
-            # could not announce the end of the connection any more.
+            # The head of the last answer on this connection was sent before
+            # the drain began, so it could not announce the close.
             request_conn.stream.close()
         else:
             request_conn.stream.set_nodelay(True)
@@ -126,21 +127,21 @@
         return _RequestReader(self, server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection; its request learns of the end by itself."""
+        """Remove a connection; a close callback cancels its request."""
         self._quiet.pop(server_conn, None)
-        self._arriving.discard(server_conn)
+        self._receiving.discard(server_conn)
         self._used.discard(server_conn)
 
-    def awake(self, server_conn: object) -> None:
-        """Note that a request arrives on a connection."""
+    def request_started(self, server_conn: object) -> None:
+        """Record that a request is being received on a connection."""
         self._quiet.pop(server_conn, None)
-        self._arriving.add(server_conn)
+        self._receiving.add(server_conn)
 
-    def dropped(self, server_conn: object) -> None:
-        """Note that a request which arrived will not come whole."""
-        self._arriving.discard(server_conn)
+    def request_dropped(self, server_conn: object) -> None:
+        """Record that a request will not be received completely."""
+        self._receiving.discard(server_conn)
 
-    def begin(
+    def request_received(
         self,
         server_conn: object,
         start_line: RequestStartLine,
@@ -149,12 +150,13 @@
         received_s: float,
         connection: HTTP1Connection,
     ) -> None:
-        """Serve a request that was read whole."""
-        self._arriving.discard(server_conn)
+        """Serve a request that was read completely."""
+        self._receiving.discard(server_conn)
         if connection.stream.closed():
-            # Read in the same turn of the loop in which the connection was
-            # closed. Passed on it would run for nobody, and if it must not
-            # run twice, its caller could not repeat it.
+            # The request was read in the same iteration of the event loop in
+            # which the connection was closed. Forwarded, it would run
+            # without a caller, who could not retry it if it must not run
+            # twice.
             return
         request = self._wire.read_request(
             start_line.method, start_line.path, headers, body, received_s
@@ -163,9 +165,9 @@
         task = asyncio.create_task(self._run(request, reply))
         self._open[task] = reply
         task.add_done_callback(self._open.pop)
-        # A caller that leaves cancels its request, and with it the work at
-        # the upstream, which nobody would take.
-        connection.set_close_callback(lambda: _cancel(task))
+        # A caller that disconnects cancels its request, which also stops the
+        # work at the upstream.
+        connection.set_close_callback(lambda: _cancel_request(task))
 
     async def _run(self, request: CallerRequest, reply: CallerReply) -> None:
         OPEN_REQUESTS.inc()
@@ -174,7 +176,9 @@
         except CallerGoneError:
             return
         except Exception:
-            _log.exception('A request failed.', request=request.request_id)
+            _log.exception(
+                'Unexpected error while serving.', request=request.request_id
+            )
             if not reply.has_ended:
                 reply.abort()
         finally:
@@ -184,15 +188,15 @@
 
 
 class _RequestReader(HTTPMessageDelegate):
-    """Collect one request."""
+    """Read one request and pass it to the caller server."""
 
     def __init__(
         self,
-        front: CallerServer,
+        server: CallerServer,
         server_conn: object,
         connection: HTTP1Connection,
     ) -> None:
-        self._front = front
+        self._caller_server = server
         self._server_conn = server_conn
         self._connection = connection
         self._start_line = RequestStartLine('', '', '')
@@ -205,20 +209,20 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Take the head."""
+        """Store the head."""
         assert isinstance(start_line, RequestStartLine)
-        self._front.awake(self._server_conn)
+        self._caller_server.request_started(self._server_conn)
         self._start_line = start_line
         self._headers = headers
         self._received_s = monotonic()
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Store a piece of the body."""
         self._body.append(chunk)
 
     def finish(self) -> None:
-        """Hand the request over."""
-        self._front.begin(
+        """Pass the complete request on."""
+        self._caller_server.request_received(
             self._server_conn,
             self._start_line,
             self._headers,
@@ -228,23 +232,26 @@
         )
 
     def on_connection_close(self) -> None:
-        """Drop what was read of a request that never came whole."""
-        self._front.dropped(self._server_conn)
+        """Drop a request that was received only in part."""
+        self._caller_server.request_dropped(self._server_conn)
 
 
-class _CallersServer(HTTPServer):
-    """Tell the front when a connection ends, which tornado does not."""
+class _NotifyingServer(HTTPServer):
+    """Notify the caller server of closed connections.
+
+    Tornado does not pass this event on to the delegate.
+    """
 
     def on_close(self, server_conn: object) -> None:
-        """Forget the connection."""
+        """Remove the connection."""
         super().on_close(server_conn)
-        front = self.request_callback
-        assert isinstance(front, CallerServer)
-        front.on_close(server_conn)
+        server = self.request_callback
+        assert isinstance(server, CallerServer)
+        server.on_close(server_conn)
 
 
 _BACKLOG = 1024
 
 
-def _cancel(task: 'asyncio.Task[None]') -> None:
+def _cancel_request(task: 'asyncio.Task[None]') -> None:
     task.cancel()
--- a/packages/daemon/src/lacewing_daemon/direct/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_exchange.py
@@ -1,4 +1,4 @@
-"""Serve one request: admit, place, send, send again by verdict, answer."""
+"""Serve one request: admit, place, send, retry by verdict, answer."""
 
 import asyncio
 import time
@@ -39,39 +39,42 @@
 from lacewing_daemon.refusals import Refusals
 
 _MS = 1000.0
-# Sends of one request, refused ones included: beyond it the fleet is full.
+# Sends of one request, refused ones included; if all of them fail, the fleet
+# is taken to be at capacity.
 MAX_SENDS = 4
-# An answer that arrives this much before the caller's deadline reaches it.
-RETURN_WAY_S = 0.02
-# When all upstreams that were tried refused: some of them have a slot free
-# within a few requests' time.
-REFUSED_RETRY_S = 0.2
-# A stream that has begun looks for room this often, for so much of the time
-# after which its caller leaves: what the silence before has left of it.
-ROOM_LOOK_S = 0.03
-ROOM_PART = 0.35
-BUDGET_RETRY_S = 1.0
-# A crash is known once a connection was refused, some ms after the runs there
-# were gathered.
-HEARS_S = 2 * COLLECT_WINDOW_S
+# An answer that arrives this long before the caller's deadline still reaches
+# the caller in time.
+RETURN_MARGIN_S = 0.02
+# Used when all upstreams that were tried refused: some of them will have a
+# free slot within the duration of a few requests.
+REFUSED_RETRY_AFTER_S = 0.2
+# A started stream checks for capacity at this interval, for this fraction of
+# the time after which its caller abandons it. The silence before the move has
+# used up the rest.
+CAPACITY_CHECK_INTERVAL_S = 0.03
+CAPACITY_WAIT_FRACTION = 0.35
+BUDGET_RETRY_AFTER_S = 1.0
+# A crash is detected once a connection is refused, some ms after the
+# interrupted runs of the upstream were collected.
+CRASH_DETECTION_S = 2 * COLLECT_WINDOW_S
 
 _STATUS = {
     Reason.BAD_KEY: 401,
     Reason.UNKNOWN_PATH: 404,
     Reason.TOO_LARGE: 413,
 }
-_ELSEWHERE = frozenset((Reason.NOT_READY, Reason.PLATFORM_UNAVAILABLE))
+_ROUTER_NOT_READY = frozenset((Reason.NOT_READY, Reason.PLATFORM_UNAVAILABLE))
 _SUCCESS = range(200, 300)
 _UNAVAILABLE = 503
 _BAD_GATEWAY = 502
 _TIMED_OUT = 504
-# What is logged as the status where the caller left or its answer was cut.
+# Logged as the status if the caller disconnected or its answer was aborted.
 _NO_STATUS = 0
 
 
 @dataclass(frozen=True)
 class ServingContext:
-    """Hold what all requests of a router share."""
+    """Hold the objects that all requests of a router share."""
 
     fleet: Fleet
     wire: Wire
@@ -86,33 +89,33 @@
 
     def __init__(
         self,
-        serving: ServingContext,
+        context: ServingContext,
         request: CallerRequest,
         reply: CallerReply,
     ) -> None:
-        self._serving = serving
-        self._fleet = serving.fleet
+        self._context = context
+        self._fleet = context.fleet
         self._request = request
         self._reply = reply
         self._admitted: Admitted | None = None
         self._fingerprint = ''
         self._refusals = Refusals()
-        self._tried: frozenset[str] = frozenset()
-        self._tries: list[Try] = []
-        self._sending: Send | None = None
-        self._sends = 0
-        self._arrived = False
-        self._runs = 0
-        self._goes_on: Target | None = None
-        self._room_until_s: float | None = None
+        self._tried_ids: frozenset[str] = frozenset()
+        self._try_log: list[Try] = []
+        self._current_send: Send | None = None
+        self._send_count = 0
+        self._has_reached_upstream = False
+        self._run_count = 0
+        self._continuation: Target | None = None
+        self._capacity_wait_end_s: float | None = None
 
     async def run(self) -> None:
-        """Serve the request; cancelled when its caller has left."""
+        """Serve the request; cancelled when the caller disconnects."""
         admitted = admit(
             self._request,
             self._fleet.cluster_state.routing_config,
             self._fleet.keys_confirmed,
-            self._serving.random,
+            self._context.random,
         )
         if isinstance(admitted, Refusal):
             self._refuse(admitted)
@@ -121,66 +124,69 @@
         self._fingerprint = fingerprint(self._request, admitted.team_name)
         budget = self._fleet.cluster_state.retry_budget(admitted.service)
         budget.count_request(time.monotonic())
-        end_s = self._request.received_s + self._allowed_s(admitted)
+        end_s = self._request.received_s + self._time_limit_s(admitted)
         try:
             async with asyncio.timeout(end_s - time.monotonic()):
-                refusal = await self._try_all(admitted, end_s)
+                refusal = await self._send_until_answered(admitted, end_s)
         except TimeoutError:
-            refusal = self._late()
+            refusal = self._deadline_refusal()
         except (CallerGoneError, asyncio.CancelledError):
-            self._tell(_NO_STATUS, self._gone())
+            self._record_outcome(_NO_STATUS, self._interrupted_refusal())
             self._reply.abort()
             raise
         if refusal is not None:
             self._refuse(self._refusals.final_refusal(refusal))
 
-    def _allowed_s(self, admitted: Admitted) -> float:
-        allowed_s = admitted.route.timeout_s
+    def _time_limit_s(self, admitted: Admitted) -> float:
+        limit_s = admitted.route.timeout_s
         if self._request.deadline_s is not None:
-            allowed_s = min(allowed_s, self._request.deadline_s)
-        return max(0.0, allowed_s - RETURN_WAY_S)
+            limit_s = min(limit_s, self._request.deadline_s)
+        return max(0.0, limit_s - RETURN_MARGIN_S)
 
-    async def _try_all(
+    async def _send_until_answered(
         self, admitted: Admitted, end_s: float
     ) -> Refusal | None:
-        """Return why the request is given up, None once it is answered."""
+        """Return why the request failed, None once it is answered."""
         relay = StreamRelay(self._reply, self._request.after_event)
         while True:
             if self._is_blocked():
-                return self._blocked()
+                return self._blocked_refusal()
             target = self._place(admitted, end_s)
             if isinstance(target, NoCapacity):
-                # Symptom: when an engine is lost, streams of it are cut
-                # beside engines that live. They leave together, the first
-                # ones fill what may wait at an engine, and the rest was
-                # refused. Room comes within a few first events.
-                await asyncio.sleep(ROOM_LOOK_S)
+                # When an engine is lost, all its streams move at the same
+                # time. The first ones fill the queues of the other engines,
+                # and refusing the rest would abort streams although live
+                # engines remain. Capacity is free again within a few first
+                # events.
+                await asyncio.sleep(CAPACITY_CHECK_INTERVAL_S)
                 continue
             if isinstance(target, Refusal):
                 return target
-            self._sends += 1
-            self._sending = Send(
+            self._send_count += 1
+            self._current_send = Send(
                 self._fleet,
-                self._serving.wire,
-                self._serving.placer,
+                self._context.wire,
+                self._context.placer,
                 self._request,
                 admitted,
                 target,
-                partial(self._may_leave, admitted, target, end_s),
+                partial(self._can_move, admitted, target, end_s),
                 self._fingerprint,
             )
-            sent = await self._sending.run(relay, end_s)
-            self._sending = None
-            self._tries.append(sent.log_entry)
-            self._arrived |= sent.end.contact is Contact.CONNECTED
-            if self._is_answer(sent.end):
-                await self._deliver(relay, sent.end)
+            result = await self._current_send.run(relay, end_s)
+            self._current_send = None
+            self._try_log.append(result.log_entry)
+            self._has_reached_upstream |= (
+                result.end.contact is Contact.CONNECTED
+            )
+            if self._is_answer(result.end):
+                await self._deliver(relay, result.end)
                 return None
-            refusal = self._settle(admitted, target, sent)
+            refusal = self._process_failure(admitted, target, result)
             if refusal is not None:
                 return refusal
-            if sent.end.connection_broken:
-                await self._hear_of_crash()
+            if result.end.connection_broken:
+                await self._await_crash_detection()
             relay.restart()
 
     def _is_blocked(self) -> bool:
@@ -189,98 +195,108 @@
             return False
         # A retry is never a probe: the request may have caused the newest
         # crash on an earlier attempt.
-        return self._sends > 0 or not guard.admits_probe(self._fingerprint)
+        return self._send_count > 0 or not guard.admits_probe(
+            self._fingerprint
+        )
 
-    def _blocked(self) -> Refusal:
+    def _blocked_refusal(self) -> Refusal:
         return not_run(
             Reason.WORKERS_CRASHED,
             'upstreams crashed under this request',
             self._fleet.crash_guard.retry_after_s(self._fingerprint),
         )
 
-    async def _hear_of_crash(self) -> None:
-        """Wait until it is known whether an upstream crashed once more.
+    async def _await_crash_detection(self) -> None:
+        """Wait until a further crash of an upstream would be detected.
 
-        Sent on at once, a request that has crashed one upstream before would
-        end another one while this router still looks at the second.
+        Retried immediately, a request that has crashed one upstream before
+        could crash a third one while this router is still checking the
+        second.
         """
         if self._fleet.crash_guard.is_suspected(self._fingerprint):
-            await asyncio.sleep(HEARS_S)
+            await asyncio.sleep(CRASH_DETECTION_S)
 
     def _place(
         self, admitted: Admitted, end_s: float
     ) -> Target | NoCapacity | Refusal:
-        """Return where to send, NoCapacity to look again, or why not to."""
+        """Return the target, NoCapacity to check again, or a refusal."""
         now_s = time.monotonic()
         placed: Target | NoCapacity
-        if self._goes_on is not None:
-            placed = self._goes_on
+        if self._continuation is not None:
+            placed = self._continuation
         else:
-            placed = self._serving.placer.place(
+            placed = self._context.placer.place(
                 self._request,
                 admitted,
-                self._tried,
+                self._tried_ids,
                 self._left_ms(admitted, end_s, now_s),
                 now_s,
             )
         if isinstance(placed, NoCapacity):
-            if self._waits_for_room(admitted, now_s):
+            if self._can_wait_for_capacity(admitted, now_s):
                 return placed
             return not_run(
                 Reason.NO_WORKER,
                 'no upstream can answer in time',
                 placed.retry_after_ms / _MS,
             )
-        if not self._arrived:
-            # A repeat is what loads upstreams once more. What reached none
-            # has loaded nobody: asked for it, the budget was used up by
-            # engines that crash, and prompts were refused beside idle ones.
+        if not self._has_reached_upstream:
+            # The retry budget bounds the extra load of retries. A request
+            # that has reached no upstream has caused no load. When such
+            # sends were charged, crashing engines used up the budget and
+            # prompts were refused although other engines were idle.
             return placed
         budget = self._fleet.cluster_state.retry_budget(admitted.service)
         if budget.spend(
-            now_s, self._fleet.cluster_state.router_count, self._runs > 0
+            now_s, self._fleet.cluster_state.router_count, self._run_count > 0
         ):
             return placed
         REPEATS_DENIED.labels(admitted.service.name).inc()
         return not_run(
-            Reason.NO_WORKER, 'the retry budget is used up', BUDGET_RETRY_S
+            Reason.NO_WORKER,
+            'the retry budget is used up',
+            BUDGET_RETRY_AFTER_S,
         )
 
-    def _waits_for_room(self, admitted: Admitted, now_s: float) -> bool:
-        """Tell whether a stream that has begun waits for room elsewhere."""
+    def _can_wait_for_capacity(self, admitted: Admitted, now_s: float) -> bool:
+        """Return whether a started stream still waits for capacity."""
         if not self._reply.has_started:
             return False
-        if self._room_until_s is None:
-            wait_s = admitted.route.abandon_after_s * ROOM_PART
-            self._room_until_s = now_s + wait_s
-        return now_s < self._room_until_s
+        if self._capacity_wait_end_s is None:
+            wait_s = admitted.route.abandon_after_s * CAPACITY_WAIT_FRACTION
+            self._capacity_wait_end_s = now_s + wait_s
+        return now_s < self._capacity_wait_end_s
 
-    def _may_leave(
-        self, admitted: Admitted, target: Target, end_s: float, others: int
+    def _can_move(
+        self,
+        admitted: Admitted,
+        target: Target,
+        end_s: float,
+        other_moves: int,
     ) -> bool:
-        """Tell whether a run could be finished elsewhere if it were left.
+        """Return whether a run could be finished at another upstream.
 
-        ``others``: runs that are left at the same moment, and spend their
-        repeats after this was asked.
+        ``other_moves``: runs that are moved at the same moment and spend
+        their retries after this check.
 
-        Symptom: a caller's answer is cut in the middle, though its engine
-        lives and would have gone on. A stream was broken off on a guess, and
-        had no run left, no repeat, no room elsewhere or no time. What is
-        known of all these is asked before.
+        A stream is interrupted on suspicion alone; its engine may be alive
+        and would have continued. If no run, retry, capacity or time is left
+        then, the caller's answer is aborted needlessly, so all of these are
+        checked before.
         """
         now_s = time.monotonic()
         budget = self._fleet.cluster_state.retry_budget(admitted.service)
         routers = self._fleet.cluster_state.router_count
-        if self._sends >= MAX_SENDS:
+        if self._send_count >= MAX_SENDS:
             return False
-        if not budget.allows(now_s, routers, True, others):
+        if not budget.allows(now_s, routers, True, other_moves):
             return False
-        placer = self._serving.placer
+        placer = self._context.placer
         if not admitted.route.can_retry:
             return self._reply.has_started and placer.copy_is_usable(
                 self._request, target, now_s
             )
-        if self._runs + 1 >= admitted.route.max_runs:
+        if self._run_count + 1 >= admitted.route.max_runs:
             return False
         left_ms = (end_s - now_s) * _MS
         if self._request.prompt is not None:
@@ -289,7 +305,7 @@
                 admitted.service.name
             )
             left_ms -= tokens * policy.step_ms
-        tried = self._tried | {target.state.upstream.upstream_id}
+        tried = self._tried_ids | {target.state.upstream.upstream_id}
         placed = placer.place(self._request, admitted, tried, left_ms, now_s)
         return not isinstance(placed, NoCapacity)
 
@@ -298,62 +314,67 @@
     ) -> float:
         """Return the time within which a first event must be expected.
 
-        A request that has reached an upstream has begun to be served: it is
-        brought to its end, also when that comes late. A stream that broke
-        off would otherwise stay broken.
+        A request that has reached an upstream is completed even if that
+        misses the latency target. An interrupted stream would otherwise
+        not be continued.
         """
-        if self._arrived:
+        if self._has_reached_upstream:
             return (end_s - now_s) * _MS
-        wanted_s = (
-            admitted.route.latency_target_s * self._serving.policy.patience
+        first_event_limit_s = (
+            admitted.route.latency_target_s * self._context.policy.patience
         )
-        return (self._request.received_s + wanted_s - now_s) * _MS
+        return (self._request.received_s + first_event_limit_s - now_s) * _MS
 
-    def _settle(
-        self, admitted: Admitted, target: Target, sent: SendResult
+    def _process_failure(
+        self, admitted: Admitted, target: Target, result: SendResult
     ) -> Refusal | None:
-        """Return why no further send is made, None to send once more."""
+        """Return why no further send is made, None to send again."""
         state = target.state
-        end = sent.end
+        end = result.end
         if end.verdict is Verdict.NOT_RUN and target.is_continuation:
-            # There is no copy. The run that it was of did begin, so the
-            # request must not be sent anywhere else.
+            # The upstream has no copy of the run. The run has started, so
+            # the request must not be sent to any other upstream.
             return may_have_run(Reason.STREAM_BROKEN, 'no copy of the run')
         if end.verdict is Verdict.NOT_RUN:
-            if not sent.has_newer_weights:
-                self._tried |= {state.upstream.upstream_id}
+            if not result.has_newer_weights:
+                self._tried_ids |= {state.upstream.upstream_id}
             refusal = not_run(
-                end.reason, 'the upstream refused', REFUSED_RETRY_S
+                end.reason, 'the upstream refused', REFUSED_RETRY_AFTER_S
             )
             self._refusals.add(refusal)
-            return refusal if self._sends >= MAX_SENDS else None
-        self._runs += 1
-        self._tried |= {state.upstream.upstream_id}
-        lost = may_have_run(end.reason, 'the upstream broke off')
-        self._refusals.add(lost)
+            return refusal if self._send_count >= MAX_SENDS else None
+        self._run_count += 1
+        self._tried_ids |= {state.upstream.upstream_id}
+        interruption = may_have_run(end.reason, 'the upstream broke off')
+        self._refusals.add(interruption)
         if not admitted.route.can_retry:
-            return self._go_on(target, lost)
-        if self._runs >= admitted.route.max_runs or self._sends >= MAX_SENDS:
-            return lost
+            return self._continue_run(target, interruption)
+        if (
+            self._run_count >= admitted.route.max_runs
+            or self._send_count >= MAX_SENDS
+        ):
+            return interruption
         return None
 
-    def _go_on(self, target: Target, lost: Refusal) -> Refusal | None:
-        """Let a run that broke off go on from its copy, if there is one.
+    def _continue_run(
+        self, target: Target, interruption: Refusal
+    ) -> Refusal | None:
+        """Continue an interrupted run from its copy, if there is one.
 
-        It is the same run: the engine continues after the last event that
-        the caller has, from the memory that was copied to it.
+        This is no second run: the engine continues after the last event
+        that the caller has, from the KV cache that was copied to it.
         """
-        if not self._reply.has_started or self._sends >= MAX_SENDS:
-            return lost
-        self._goes_on = self._serving.placer.continuation(target)
-        return lost if self._goes_on is None else None
+        if not self._reply.has_started or self._send_count >= MAX_SENDS:
+            return interruption
+        self._continuation = self._context.placer.continuation(target)
+        return interruption if self._continuation is None else None
 
     def _is_answer(self, end: AttemptEnd) -> bool:
-        """Tell whether an attempt brought what ends the request.
+        """Return whether the answer of an attempt completes the request.
 
-        Once a stream has begun only its rest does. A failure of the
-        upstream that was to continue it would pass for its regular end, and
-        the caller for one who has all events.
+        Once a stream has started, only a successful continuation does. An
+        error response of the next upstream would otherwise be taken for the
+        regular end of the stream, although events are missing.
         """
         if end.verdict is not Verdict.RAN or end.head is None:
             return False
@@ -366,14 +387,16 @@
         else:
             headers = HTTPHeaders(end.head.headers)
             self._reply.send_complete(end.head.status, headers, end.body)
-        self._tell(end.head.status, None)
+        self._record_outcome(end.head.status, None)
 
-    def _late(self) -> Refusal:
-        if self._sends:
+    def _deadline_refusal(self) -> Refusal:
+        if self._send_count:
             return may_have_run(Reason.DEADLINE, 'no answer in time')
-        return not_run(Reason.DEADLINE, 'no answer in time', BUDGET_RETRY_S)
+        return not_run(
+            Reason.DEADLINE, 'no answer in time', BUDGET_RETRY_AFTER_S
+        )
 
-    def _gone(self) -> Refusal:
+    def _interrupted_refusal(self) -> Refusal:
         if self._reply.stopped:
             return may_have_run(
                 Reason.DRAINING, 'the time to stop was over before the answer'
@@ -381,31 +404,31 @@
         return may_have_run(Reason.CALLER_GONE, 'the caller left')
 
     def _refuse(self, refusal: Refusal) -> None:
-        status = _status(refusal)
+        status = _status_of(refusal)
         if self._reply.has_started:
-            # The caller has a part of the answer; cut, it can't be taken
-            # for the whole.
+            # The caller has a part of the answer. Aborting it keeps the
+            # caller from taking that part for the complete answer.
             self._reply.abort()
-            self._tell(_NO_STATUS, refusal)
+            self._record_outcome(_NO_STATUS, refusal)
             return
         retry_after_s = None
         if status == _UNAVAILABLE:
             retry_after_s = refusal.retry_after_s
-        if refusal.reason in _ELSEWHERE:
-            # The next request of this caller would be refused here as well;
-            # a new connection goes to a router that is ready.
+        if refusal.reason in _ROUTER_NOT_READY:
+            # This router would refuse the caller's next request as well; a
+            # new connection is routed to a router that is ready.
             self._reply.announce_close()
-        headers = self._serving.wire.refusal(
+        headers = self._context.wire.refusal(
             self._request.request_id, retry_after_s
         )
         self._reply.send_complete(status, headers, b'')
-        self._tell(status, refusal)
+        self._record_outcome(status, refusal)
 
-    def _tell(self, status: int, refusal: Refusal | None) -> None:
-        if self._sending is not None and refusal is not None:
-            self._tries.append(self._sending.unfinished(refusal.reason))
+    def _record_outcome(self, status: int, refusal: Refusal | None) -> None:
+        if self._current_send is not None and refusal is not None:
+            self._try_log.append(self._current_send.unfinished(refusal.reason))
         admitted = self._admitted
-        directory = self._fleet.cluster_state.routing_config
+        routing_config = self._fleet.cluster_state.routing_config
         now_s = time.monotonic()
         service = '' if admitted is None else admitted.service.name
         team = '' if admitted is None else admitted.team_name
@@ -414,7 +437,7 @@
         REQUESTS.labels(service, str(status), reason).inc()
         deadline_s = self._request.deadline_s or 0.0
         elapsed_s = now_s - self._request.received_s
-        self._serving.log.log_outcome(
+        self._context.log.log_outcome(
             RequestOutcome(
                 request_id=self._request.request_id,
                 service=service,
@@ -425,23 +448,24 @@
                 message='' if refusal is None else refusal.message,
                 ms=int(elapsed_s * _MS),
                 left_ms=int((deadline_s - elapsed_s) * _MS),
-                config=0 if directory is None else directory.version,
+                config=0 if routing_config is None else routing_config.version,
                 config_age_ms=int(
-                    min(self._fleet.routing_config_age_s, _LONG_S) * _MS
+                    min(self._fleet.routing_config_age_s, _MAX_LOGGED_AGE_S)
+                    * _MS
                 ),
                 upstreams=len(self._fleet.cluster_state.upstreams_of(service)),
-                tries=tuple(self._tries),
+                tries=tuple(self._try_log),
                 fingerprint=self._fingerprint,
             ),
             now_s,
         )
 
 
-# Ages are cut here for the log; JSON has no infinity.
-_LONG_S = 9999.0
+# Upper bound of ages in the log; JSON has no infinity.
+_MAX_LOGGED_AGE_S = 9999.0
 
 
-def _status(refusal: Refusal) -> int:
+def _status_of(refusal: Refusal) -> int:
     if refusal.verdict is Verdict.NOT_RUN:
         return _STATUS.get(refusal.reason, _UNAVAILABLE)
     if refusal.reason is Reason.DEADLINE:
--- a/packages/daemon/src/lacewing_daemon/direct/_send.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_send.py
@@ -1,4 +1,4 @@
-"""Send a request to a chosen upstream and account for it."""
+"""Send a request to a chosen upstream and record its load and outcome."""
 
 import time
 from collections.abc import Callable
@@ -30,30 +30,31 @@
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
 _MS = 1000.0
-# An upstream at whose address another one answers has ended; its entry goes
-# within a few seconds.
+# An upstream at whose address another one answers has terminated; its store
+# entry is removed within a few seconds.
 MOVED_UPSTREAM_PAUSE_S = 4.0
-# An engine that refuses is full or loads weights (0.4 s); others are tried
-# meanwhile.
+# An engine that refuses is at capacity or loads weights (0.4 s); other engines
+# are tried meanwhile.
 REFUSED_PAUSE_S = 0.15
-# Callers leave a stream after 2 s without an event, or longer. One that can
-# be resumed is moved before that, when its upstream has been silent for so
-# long as a whole.
+# Callers abandon a stream after at least 2 s without an event. A resumable
+# stream is moved before that, once no data has been received from its
+# upstream on any stream for this long.
 STREAM_SILENT_S = 1.4
-# An upstream that others are heard from lives, and may be reading; a stream
-# of it is moved when so much of the time after which callers leave is over.
-STREAM_LEAVES_PART = 0.7
-# A plain upstream answers in some tens of ms, 0.25 s at its slowest; one
-# that is silent for so long is tried elsewhere if the request may repeat.
+# An upstream that sends data on other streams is alive and may be prefilling.
+# A stream of it is moved only after this fraction of the time after which its
+# caller abandons it.
+STREAM_MOVE_FRACTION = 0.7
+# A plain upstream answers within some tens of ms, 0.25 s at its slowest. After
+# this time without data a request that can be retried is sent to another one.
 PLAIN_SILENT_S = 0.45
 
 
 @dataclass(frozen=True)
 class SendResult:
-    """Hold how a send ended, and the line that is logged of it.
+    """Hold how a send ended and its entry in the request log.
 
-    ``has_newer_weights``: the upstream refused as it has newer weights, and
-    named their version.
+    ``has_newer_weights``: the upstream refused because it has newer weights,
+    and reported their version.
     """
 
     end: AttemptEnd
@@ -64,11 +65,11 @@
 class Send:
     """Send one request to one upstream once.
 
-    The load that the request adds is counted until it ends, and all that
-    the answer tells of the upstream is learnt. ``can_move`` tells whether
-    the request could be finished elsewhere, besides so many others that are
-    left at the same moment. ``fingerprint`` is that of all requests which
-    ask the same.
+    Counts the load that the request adds until it ends, and updates the
+    state of the upstream from the answer. ``can_move`` returns whether the
+    request could be finished at another upstream, given the number of other
+    requests that move at the same moment. ``fingerprint`` is shared by all
+    requests with the same content.
     """
 
     def __init__(
@@ -89,53 +90,53 @@
         self._admitted = admitted
         self._target = target
         self._state = target.state
-        self._may_leave = can_move
+        self._can_move = can_move
         self._fingerprint = fingerprint
         self._guard = fleet.crash_guard
-        self._began_s = time.monotonic()
-        self._first_s: float | None = None
-        self._others = self._state.other_requests(self._began_s)
+        self._start_s = time.monotonic()
+        self._first_event_s: float | None = None
+        self._other_requests = self._state.other_requests(self._start_s)
         self._copy_tokens = 0
         if target.copy_to is not None and request.prompt is not None:
             self._copy_tokens = request.prompt.tokens
             target.copy_to.open_copy(self._copy_tokens)
-        self._ticket = self._state.open_request(
-            target.prefill_ms, target.urgency, self._began_s
+        self._open_request = self._state.open_request(
+            target.prefill_ms, target.urgency, self._start_s
         )
 
     def unfinished(self, reason: Reason) -> Try:
-        """Return the line of a send that was given up on."""
-        return self._tell(AttemptEnd(Verdict.MAY_HAVE_RUN, reason))
+        """Return the log entry of a send that was abandoned."""
+        return self._log_entry(AttemptEnd(Verdict.MAY_HAVE_RUN, reason))
 
     async def run(self, relay: StreamRelay, end_s: float) -> SendResult:
-        """Send, pass a stream on, and return how it ended."""
-        self._note_parts()
-        streams = self._admitted.route.is_streaming
+        """Send the request, relay a stream, and return how it ended."""
+        self._record_sent_parts()
+        is_streaming = self._admitted.route.is_streaming
 
         async def on_piece(head: ReplyHead, piece: bytes) -> None:
             self._fleet.silence_detector.data_received(
                 self._state, time.monotonic()
             )
-            if self._first_s is None and self._can_go_on:
+            if self._first_event_s is None and self._can_continue:
                 self._watch(attempt)
-            self._begin()
+            self._record_first_event()
             await relay.forward(head, piece)
 
-        def gives_up(waited_s: float) -> bool:
-            return self._gives_up(waited_s, relay.has_started)
+        def should_abandon(waited_s: float) -> bool:
+            return self._should_abandon(waited_s, relay.has_started)
 
         attempt = Attempt(
             self._request,
             self._wire,
             self._learn,
-            on_piece if streams else None,
+            on_piece if is_streaming else None,
         )
-        self._cut = attempt.abort
-        self._guard.run_opened(self._fingerprint, self._cut)
-        left_s = end_s - self._began_s
+        self._abort = attempt.abort
+        self._guard.run_opened(self._fingerprint, self._abort)
+        left_s = end_s - self._start_s
         first_wait_s = left_s
         if self._admitted.route.can_retry:
-            first_wait_s = STREAM_SILENT_S if streams else PLAIN_SILENT_S
+            first_wait_s = STREAM_SILENT_S if is_streaming else PLAIN_SILENT_S
         gap_wait_s = first_wait_s
         if self._target.copy_to is not None:
             gap_wait_s = STREAM_SILENT_S
@@ -150,25 +151,25 @@
                 self._admitted.service.max_idle_connections(
                     self._fleet.cluster_state.router_count
                 ),
-                gives_up,
+                should_abandon,
             )
         finally:
-            self._guard.run_closed(self._fingerprint, self._cut)
+            self._guard.run_closed(self._fingerprint, self._abort)
             self._fleet.silence_detector.stream_closed(
                 self._state, attempt.abort
             )
             if self._target.copy_to is not None:
                 self._target.copy_to.close_copy(self._copy_tokens)
-            self._state.mark_started(self._ticket)
+            self._state.mark_started(self._open_request)
             self._state.close_request()
-        told_newer = self._told_newer(end)
-        if not told_newer:
-            self._judge(end)
-        return SendResult(end, self._tell(end), told_newer)
+        has_newer_weights = self._reported_newer_weights(end)
+        if not has_newer_weights:
+            self._record_end(end)
+        return SendResult(end, self._log_entry(end), has_newer_weights)
 
     @property
-    def _can_go_on(self) -> bool:
-        """Tell whether the stream can be continued at another upstream."""
+    def _can_continue(self) -> bool:
+        """Return whether another upstream could continue the stream."""
         return (
             self._admitted.route.can_retry or self._target.copy_to is not None
         )
@@ -181,71 +182,76 @@
             route.can_retry,
             route.max_event_gap_s,
             route.abandon_after_s,
-            self._may_leave,
+            self._can_move,
         )
 
-    def _gives_up(self, waited_s: float, begun: bool) -> bool:
-        """Tell whether an answer is given up that nothing came of.
+    def _should_abandon(self, waited_s: float, has_started: bool) -> bool:
+        """Return whether to abandon an answer on which no data arrives.
 
-        Load pattern: an upstream reads long prompts, or has put a run back,
-        and goes on seconds later. Given up, a stream that has begun ends for
-        its caller if it can't be finished elsewhere, though it would have
-        gone on; so it is kept then, to the deadline or to its caller's end.
+        An upstream that prefills long prompts or has preempted a run
+        continues seconds later. A started stream that can't be finished at
+        another upstream is therefore kept until the deadline or until the
+        caller disconnects: abandoning it would abort an answer that would
+        have continued.
         """
         route = self._admitted.route
         if not route.is_streaming:
             return True
-        if begun and not self._may_leave(0):
+        if has_started and not self._can_move(0):
             return False
-        if waited_s >= route.abandon_after_s * STREAM_LEAVES_PART:
+        if waited_s >= route.abandon_after_s * STREAM_MOVE_FRACTION:
             return True
         return (
             self._state.since_last_data_s(time.monotonic()) >= STREAM_SILENT_S
         )
 
-    def _begin(self) -> None:
-        """Note the first event, or the head of an answer that is none."""
-        if self._first_s is not None:
+    def _record_first_event(self) -> None:
+        """Record the first event, or the head of an unstreamed answer."""
+        if self._first_event_s is not None:
             return
-        self._first_s = time.monotonic()
-        self._guard.run_closed(self._fingerprint, self._cut)
-        self._state.mark_started(self._ticket)
+        self._first_event_s = time.monotonic()
+        self._guard.run_closed(self._fingerprint, self._abort)
+        self._state.mark_started(self._open_request)
         prompt = self._request.prompt
         if prompt is None or self._target.is_continuation:
             return
         self._placer.cached_parts.record_prefilled(
-            self._target, prompt, self._first_s
+            self._target, prompt, self._first_event_s
+        )
+        estimated_ms = self._target.first_event_ms - self._target.lateness_ms
+        elapsed_ms = (self._first_event_s - self._start_s) * _MS
+        self._state.record_lateness(
+            elapsed_ms - estimated_ms, self._first_event_s
         )
-        counted_ms = self._target.first_event_ms - self._target.lateness_ms
-        took_ms = (self._first_s - self._began_s) * _MS
-        self._state.record_lateness(took_ms - counted_ms, self._first_s)
         record_first_event(
-            self._estimates, self._target, prompt, took_ms, boot_s()
+            self._estimates, self._target, prompt, elapsed_ms, boot_s()
         )
 
     @property
     def _estimates(self) -> Estimates:
         return self._fleet.cluster_state.estimates(self._admitted.service.name)
 
-    def _learn_run(self) -> None:
-        """Learn from a whole run how long a token of an answer takes."""
+    def _record_run(self) -> None:
+        """Record a sample of the time per output token from a complete run."""
         prompt = self._request.prompt
         if (
             prompt is None
-            or self._first_s is None
+            or self._first_event_s is None
             or self._target.is_continuation
         ):
             return
-        took_ms = (time.monotonic() - self._first_s) * _MS
-        self._estimates.record_run(prompt.expected_tokens, took_ms, boot_s())
+        elapsed_ms = (time.monotonic() - self._first_event_s) * _MS
+        self._estimates.record_run(
+            prompt.expected_tokens, elapsed_ms, boot_s()
+        )
 
-    def _note_parts(self) -> None:
+    def _record_sent_parts(self) -> None:
         engine = self._admitted.service.engine
         prompt = self._request.prompt
         if engine is None or prompt is None:
             return
         self._placer.cached_parts.record_sent(
-            self._target, prompt, engine, self._began_s
+            self._target, prompt, engine, self._start_s
         )
 
     def _dispatch(self, left_s: float, after_event: int | None) -> Dispatch:
@@ -272,9 +278,10 @@
             self._state, time.monotonic()
         )
         if not self._admitted.route.is_streaming and head.is_signed:
-            self._begin()
+            self._record_first_event()
         if self._answered_by_another(head):
-            # What it tells is true of itself alone.
+            # The load and weights in the answer are those of the other
+            # upstream.
             self._state.exclude_for(time.monotonic(), MOVED_UPSTREAM_PAUSE_S)
             return
         if self._state.replaced:
@@ -289,8 +296,8 @@
         upstream_id = self._state.upstream.upstream_id
         return head.responder_id not in ('', upstream_id)
 
-    def _judge(self, end: AttemptEnd) -> None:
-        """Learn from the end how far the upstream is to be used."""
+    def _record_end(self, end: AttemptEnd) -> None:
+        """Update metrics and the state of the upstream from the end."""
         service = self._admitted.service.name
         ATTEMPTS.labels(service, end.verdict.value).inc()
         if self._target.is_continuation:
@@ -299,16 +306,16 @@
         if end.verdict is Verdict.RAN:
             self._state.record_success()
             self._guard.run_succeeded(self._fingerprint)
-            self._learn_run()
-            if self._first_s is not None:
+            self._record_run()
+            if self._first_event_s is not None:
                 FIRST_SECONDS.labels(service).observe(
-                    self._first_s - self._request.received_s
+                    self._first_event_s - self._request.received_s
                 )
             return
         if end.verdict is Verdict.MAY_HAVE_RUN:
             self._state.record_failure(now_s)
             if end.connection_broken:
-                self._report_broken(end)
+                self._report_interrupted_run(end)
             return
         if end.contact is Contact.REFUSED:
             self._state.record_refused_connection(now_s)
@@ -318,38 +325,38 @@
             return
         self._state.exclude_for(now_s, REFUSED_PAUSE_S)
 
-    def _report_broken(self, end: AttemptEnd) -> None:
+    def _report_interrupted_run(self, end: AttemptEnd) -> None:
         run = BrokenRun(
             request=self._request.request_id,
             same=self._fingerprint,
-            begun=self._first_s is not None,
+            begun=self._first_event_s is not None,
         )
         self._guard.run_broken(self._state.upstream, run, end.opened_s)
 
-    def _told_newer(self, end: AttemptEnd) -> bool:
+    def _reported_newer_weights(self, end: AttemptEnd) -> bool:
         prompt = self._request.prompt
         if end.reason is not Reason.STALE_WEIGHTS or prompt is None:
             return False
-        told = self._state.weights(prompt.model) or 0
-        return told > (self._target.weights or 0)
+        reported_version = self._state.weights(prompt.model) or 0
+        return reported_version > (self._target.weights or 0)
 
-    def _tell(self, end: AttemptEnd) -> Try:
+    def _log_entry(self, end: AttemptEnd) -> Try:
         target = self._target
-        old = target.superseded_ms > 0
+        is_superseded = target.superseded_ms > 0
         first_ms = -1
-        if self._first_s is not None:
-            first_ms = int((self._first_s - self._began_s) * _MS)
+        if self._first_event_s is not None:
+            first_ms = int((self._first_event_s - self._start_s) * _MS)
         return Try(
             upstream=self._state.upstream.upstream_id,
             verdict=end.verdict.value,
             reason='' if end.verdict is Verdict.RAN else end.reason.value,
-            ms=int((time.monotonic() - self._began_s) * _MS),
+            ms=int((time.monotonic() - self._start_s) * _MS),
             status=0 if end.head is None else end.head.status,
             expected_ms=int(target.first_event_ms),
             waits_ms=int(target.wait_ms),
-            others=self._others,
+            others=self._other_requests,
             weights=target.weights or 0,
-            named=target.released_version if old else 0,
+            named=target.released_version if is_superseded else 0,
             old_ms=int(target.superseded_ms),
             first_ms=first_ms,
             tokens_per_ms=round(target.tokens_per_ms, 1),
