--- a/packages/daemon/src/lacewing_daemon/direct/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/direct/__init__.py
@@ -1,4 +1,4 @@
-"""Route callers' requests to upstreams without agents beside them."""
+"""Route requests of callers to upstreams that run without agents."""
 
 from lacewing_daemon.direct._call import CallerRequest
 from lacewing_daemon.direct._call import Prompt
--- a/packages/daemon/src/lacewing_daemon/direct/_call.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_call.py
@@ -1,4 +1,4 @@
-"""Hold what a caller asks for, decoded once."""
+"""Define the decoded request of a caller."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """Name one part of a prompt by the digest of its text."""
+    """Identify one part of a prompt by the digest of its text."""
 
     part_id: str
     tokens: int
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """Describe a prompt: its parts in order, the last one its own.
+    """Describe a prompt by its parts in order; only the last is unshared.
 
-    ``expected_tokens`` is the caller's guess of the answer's length, or the
-    most that it may have.
+    ``expected_tokens`` is the caller's estimate of the length of the answer,
+    or else its maximum.
     """
 
     model: str
@@ -29,17 +29,17 @@
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
-        """Return the parts that other requests may share."""
+        """Return the parts that other prompts may share."""
         return self.parts[:-1]
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """Hold one request as read from its caller.
+    """Hold one request of a caller.
 
-    ``received_s`` is on the process's steady clock; ``deadline_s`` counts
-    from it, None if the caller gave none. ``after_event`` is the id of the
-    last event that the caller has of a stream it resumes.
+    ``received_s`` is on the monotonic clock; ``deadline_s`` is relative to
+    it, None if the caller set none. ``after_event`` is the id of the last
+    event that the caller received of a stream that it resumes.
     """
 
     method: str
--- a/packages/daemon/src/lacewing_daemon/direct/_caller_reply.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_reply.py
@@ -14,46 +14,46 @@
 
 
 class CallerReply:
-    """Hold the answer of one request; whole, or begun and streamed."""
+    """Send the answer to one request, complete or streamed."""
 
     def __init__(self, connection: HTTP1Connection) -> None:
         self._connection = connection
-        self._closing = False
+        self._will_close = False
         self._stopped = False
-        self._begun = False
-        self._ended = False
+        self._has_started = False
+        self._has_ended = False
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the head was sent."""
-        return self._begun
+        """Return whether the head was sent."""
+        return self._has_started
 
     @property
     def has_ended(self) -> bool:
-        """Tell whether the answer is complete or was cut."""
-        return self._ended
+        """Return whether the answer is complete or was aborted."""
+        return self._has_ended
 
     @property
     def stopped(self) -> bool:
-        """Tell whether the end of this process ended the connection."""
+        """Return whether the stop of this process closed the connection."""
         return self._stopped
 
     def mark_stopped(self) -> None:
-        """Note that this process ends before the answer does."""
+        """Record that this process stops before the answer is complete."""
         self._stopped = True
 
     def announce_close(self) -> None:
-        """Tell the caller, if still possible, not to use its connection."""
-        self._closing = True
+        """Announce the close of the connection if no head was sent yet."""
+        self._will_close = True
 
     def send_head(self, status: int, headers: HTTPHeaders) -> None:
         """Send the head of an answer that is streamed."""
-        self._begun = True
-        self._announce(headers)
-        self._connection.write_headers(_line(status), headers)
+        self._has_started = True
+        self._add_close_header(headers)
+        self._connection.write_headers(_status_line(status), headers)
 
     async def write(self, data: bytes) -> None:
-        """Send a piece; returns when the caller has taken enough."""
+        """Send a piece; wait until the connection accepts more data."""
         try:
             await self._connection.write(data)
         except StreamClosedError as error:
@@ -61,38 +61,41 @@
 
     def end(self) -> None:
         """Complete a streamed answer."""
-        self._ended = True
+        self._has_ended = True
         self._connection.finish()
 
     def send_complete(
         self, status: int, headers: HTTPHeaders, body: bytes
     ) -> None:
-        """Send a whole answer."""
-        self._begun = True
-        self._ended = True
-        self._announce(headers)
+        """Send a complete answer."""
+        self._has_started = True
+        self._has_ended = True
+        self._add_close_header(headers)
         if 'Content-Length' not in headers:
             headers['Content-Length'] = str(len(body))
-        written = self._connection.write_headers(_line(status), headers, body)
-        written.add_done_callback(_look_at)
+        written = self._connection.write_headers(
+            _status_line(status), headers, body
+        )
+        written.add_done_callback(_retrieve_exception)
         self._connection.finish()
 
     def abort(self) -> None:
-        """Cut an answer, so that the caller can't take it for complete."""
-        self._ended = True
+        """Close the connection, so that the answer is seen as incomplete."""
+        self._has_ended = True
         self._connection.close()
 
-    def _announce(self, headers: HTTPHeaders) -> None:
-        if self._closing:
+    def _add_close_header(self, headers: HTTPHeaders) -> None:
+        if self._will_close:
             headers['Connection'] = 'close'
 
 
-def _line(status: int) -> ResponseStartLine:
+def _status_line(status: int) -> ResponseStartLine:
     reason = responses.get(status, 'Unknown')
     return ResponseStartLine('HTTP/1.1', status, reason)
 
 
-def _look_at(written: 'asyncio.Future[None]') -> None:
-    # A caller that left is noticed by its connection's close callback.
+def _retrieve_exception(written: 'asyncio.Future[None]') -> None:
+    # The close callback of the connection handles callers that disconnect.
+    # Retrieving the exception keeps asyncio from logging it.
     if not written.cancelled():
         written.exception()
--- a/packages/daemon/src/lacewing_daemon/direct/_events.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_events.py
@@ -1,42 +1,42 @@
-"""Cut a stream into whole events and keep their order."""
+"""Split a stream of server-sent events and read their ids."""
 
 _ID = b'id:'
 _SEPARATORS = (b'\n\n', b'\r\n\r\n')
 
 
 class EventSplitter:
-    """Collect bytes and give out whole events, each with its blank line.
+    """Buffer bytes and return complete events with their blank lines.
 
-    An upstream may break off in the middle of an event. A caller that got
-    that half could not tell it from the beginning of the next one, so half
-    an event is never passed on.
+    An upstream may be interrupted in the middle of an event. A caller could
+    not tell such a partial event from the start of the next one, so partial
+    events are never returned.
     """
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._remainder = b''
 
     @property
     def remainder(self) -> bytes:
-        """Return the bytes after the last whole event."""
-        return self._rest
+        """Return the bytes after the last complete event."""
+        return self._remainder
 
     def feed(self, piece: bytes) -> list[bytes]:
-        """Add a piece; return the events that are whole now."""
-        data = self._rest + piece
+        """Add a piece; return the events that it completes."""
+        data = self._remainder + piece
         events = []
-        begin = 0
+        start = 0
         while True:
-            end = _event_end(data, begin)
+            end = _event_end(data, start)
             if end < 0:
                 break
-            events.append(data[begin:end])
-            begin = end
-        self._rest = data[begin:]
+            events.append(data[start:end])
+            start = end
+        self._remainder = data[start:]
         return events
 
 
 def event_id(event: bytes) -> int | None:
-    """Return the number that an event carries as its id, if any."""
+    """Return the numeric id of an event, None if it has none."""
     for line in event.splitlines():
         if not line.startswith(_ID):
             continue
@@ -45,10 +45,10 @@
     return None
 
 
-def _event_end(data: bytes, begin: int) -> int:
+def _event_end(data: bytes, start: int) -> int:
     ends = []
     for separator in _SEPARATORS:
-        found = data.find(separator, begin)
-        if found >= 0:
-            ends.append(found + len(separator))
+        position = data.find(separator, start)
+        if position >= 0:
+            ends.append(position + len(separator))
     return min(ends) if ends else -1
--- a/packages/daemon/src/lacewing_daemon/direct/_metrics.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_metrics.py
@@ -1,10 +1,10 @@
-"""Count what a direct router does."""
+"""Define the metrics of a direct router."""
 
 from prometheus_client import Counter
 from prometheus_client import Gauge
 from prometheus_client import Histogram
 
-_SECONDS = (0.01, 0.03, 0.1, 0.2, 0.3, 0.4, 0.8, 1.5, 3.0, 5.0, 15.0)
+_BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.3, 0.4, 0.8, 1.5, 3.0, 5.0, 15.0)
 
 REQUESTS = Counter(
     'lacewing_direct_requests',
@@ -59,7 +59,7 @@
     'lacewing_direct_first_seconds',
     'Seconds from a request to its first event or its answer, by service',
     ['service'],
-    buckets=_SECONDS,
+    buckets=_BUCKETS_S,
 )
 STORE_AGE_SECONDS = Gauge(
     'lacewing_direct_store_age_seconds',
--- a/packages/daemon/src/lacewing_daemon/direct/_pages.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_pages.py
@@ -1,4 +1,4 @@
-"""Answer the balancer and operators with single pages."""
+"""Serve the readiness page of the balancer and the metrics page."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 
 _OK = 200
 _UNAVAILABLE = 503
-_TEXT = 'text/plain'
+_PLAIN_TEXT = 'text/plain'
 
 
 @dataclass(frozen=True)
 class Page:
-    """Hold one answer."""
+    """Hold one complete response."""
 
     status: int
     content_type: str
@@ -32,11 +32,11 @@
     """Answer every request on one address with the same page."""
 
     def __init__(self, page: Callable[[], Page]) -> None:
-        self._page = page
+        self._make_page = page
         self._server = HTTPServer(self)
 
     def listen(self, host: str, port: int) -> None:
-        """Begin to answer."""
+        """Start listening."""
         self._server.listen(port, host)
 
     def start_request(
@@ -44,25 +44,25 @@
     ) -> HTTPMessageDelegate:
         """Answer one request."""
         assert isinstance(request_conn, HTTP1Connection)
-        return _PageAnswer(self._page, request_conn)
+        return _PageResponder(self._make_page, request_conn)
 
     def close(self) -> None:
-        """Stop answering."""
+        """Stop listening."""
         self._server.stop()
 
 
-class _PageAnswer(HTTPMessageDelegate):
-    """Answer one request when it was read."""
+class _PageResponder(HTTPMessageDelegate):
+    """Answer one request once it was read completely."""
 
     def __init__(
         self, page: Callable[[], Page], connection: HTTP1Connection
     ) -> None:
-        self._page = page
+        self._make_page = page
         self._connection = connection
 
     def finish(self) -> None:
         """Send the page."""
-        page = self._page()
+        page = self._make_page()
         headers = HTTPHeaders({'Content-Type': page.content_type})
         CallerReply(self._connection).send_complete(
             page.status, headers, page.body
@@ -70,10 +70,10 @@
 
 
 def ready_page(ready: bool) -> Page:
-    """Return the page that tells whether to send connections here."""
+    """Return the readiness page for the load balancer."""
     if ready:
-        return Page(_OK, _TEXT, b'ready\n')
-    return Page(_UNAVAILABLE, _TEXT, b'not ready\n')
+        return Page(_OK, _PLAIN_TEXT, b'ready\n')
+    return Page(_UNAVAILABLE, _PLAIN_TEXT, b'not ready\n')
 
 
 def metrics_page() -> Page:
--- a/packages/daemon/src/lacewing_daemon/direct/_request_log.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_request_log.py
@@ -1,4 +1,4 @@
-"""Tell how each request ended, and on what its decisions rested."""
+"""Log how each request ended and what its decisions were based on."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -11,8 +11,8 @@
 from lacewing_daemon.direct._line_budget import LineBudget
 from lacewing_daemon.direct._metrics import LOG_LINES_DROPPED
 
-# How often the lines that were left out are told.
-TELL_S = 5.0
+# Interval at which the number of dropped lines is logged.
+DROPPED_LOG_INTERVAL_S = 5.0
 
 _log = get_log(Part.CALLERS)
 
@@ -21,7 +21,7 @@
 class RequestOutcome:
     """Hold how a request ended; ``reason`` '' for an upstream's answer.
 
-    ``fingerprint`` is that of all requests which ask the same.
+    ``fingerprint`` is shared by all requests with the same content.
     """
 
     request_id: str
@@ -41,38 +41,38 @@
 
     @property
     def failed(self) -> bool:
-        """Tell whether the caller got no success."""
-        return self.status == 0 or self.status >= _FIRST_FAILURE
+        """Return whether the caller got an error or no complete answer."""
+        return self.status == 0 or self.status >= _FIRST_ERROR_STATUS
 
 
-_FIRST_FAILURE = 400
+_FIRST_ERROR_STATUS = 400
 
 
 class RequestLog:
-    """Write one line for a request, within the budget of lines."""
+    """Write one line per request within the line budget."""
 
     def __init__(self, now_s: float) -> None:
         self._budget = LineBudget(now_s)
-        self._told_s = now_s
+        self._last_logged_s = now_s
 
     def log_outcome(self, end: RequestOutcome, now_s: float) -> None:
-        """Tell how a request ended."""
+        """Log how a request ended."""
         if self._budget.allow(end.failed, now_s):
             event = 'Request failed.' if end.failed else 'Request answered.'
             _log.info(event, **_fields(end))
-        if now_s - self._told_s < TELL_S:
+        if now_s - self._last_logged_s < DROPPED_LOG_INTERVAL_S:
             return
-        self._told_s = now_s
-        left_out = self._budget.pop_dropped_count()
-        if left_out:
-            LOG_LINES_DROPPED.inc(left_out)
-            _log.info('Left out lines of requests.', count=left_out)
+        self._last_logged_s = now_s
+        dropped = self._budget.pop_dropped_count()
+        if dropped:
+            LOG_LINES_DROPPED.inc(dropped)
+            _log.info('Left out lines of requests.', count=dropped)
 
 
 def _fields(end: RequestOutcome) -> Mapping[str, object]:
     tries = []
-    for one in end.tries:
-        tries.append(msgspec.to_builtins(one))
+    for attempt in end.tries:
+        tries.append(msgspec.to_builtins(attempt))
     fields: dict[str, object] = {
         'request': end.request_id,
         'service': end.service,
--- a/packages/daemon/src/lacewing_daemon/direct/_router.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router.py
@@ -37,18 +37,18 @@
 from lacewing_daemon.direct._site import Wire
 from lacewing_daemon.lease import Lease
 
-# The balancer takes a VM out after two questions without a 200, asked once
-# a second; connections may come until then.
+# The load balancer checks readiness once a second and removes a VM after two
+# checks without a 200; new connections may arrive until then.
 OUT_OF_ROTATION_S = 2.6
-# Kept for closing before the platform kills the process.
+# Reserved for closing connections before the platform kills the process.
 CLOSE_S = 0.6
-_LOOK_S = 0.05
+_DRAIN_CHECK_INTERVAL_S = 0.05
 
 _log = get_log(Part.MAIN)
 
 
 class DirectRouter:
-    """Hold the parts of one router.
+    """Create, start and stop the parts of one router.
 
     ``started_s`` is when the process was started, on the boot clock.
     """
@@ -62,13 +62,13 @@
         started_s: float | None = None,
     ) -> None:
         self._settings = settings
-        self._read_again = reload_settings
+        self._reload_settings = reload_settings
         self._signals = StopSignals(patient=True)
         self._stopping = False
         self._fleet = Fleet(settings, site)
         if started_s is not None:
             self._fleet.cluster_state.set_process_start(started_s)
-        self._serving = ServingContext(
+        self._context = ServingContext(
             self._fleet,
             wire,
             Placer(self._fleet.cluster_state, settings.availability_zone),
@@ -77,7 +77,7 @@
             RequestLog(time.monotonic()),
         )
         self._caller_server = CallerServer(wire, self._serve)
-        self._fleet.on_routing_config(self._take_directory)
+        self._fleet.on_routing_config(self._apply_routing_config)
         self._ready = PageServer(lambda: ready_page(self.ready))
         self._metrics = PageServer(self._metrics_page)
         lease = Lease(
@@ -98,19 +98,19 @@
 
     @property
     def callers_address(self) -> str:
-        """Return ``ip:port`` for callers, once started."""
+        """Return the ``ip:port`` that callers connect to, once started."""
         return self._caller_server.address
 
     @property
     def ready(self) -> bool:
-        """Tell whether new connections should be sent here."""
+        """Return whether the balancer should send new connections here."""
         return self._fleet.ready and not self._stopping
 
     @property
     def configuration(self) -> int:
-        """Return the version of the configuration in force, 0 for none."""
-        directory = self._fleet.cluster_state.routing_config
-        return 0 if directory is None else directory.version
+        """Return the version of the active configuration, 0 for none."""
+        routing_config = self._fleet.cluster_state.routing_config
+        return 0 if routing_config is None else routing_config.version
 
     @property
     def upstream_ids(self) -> tuple[str, ...]:
@@ -119,15 +119,15 @@
 
     @property
     def peer_addresses(self) -> tuple[str, ...]:
-        """Return where the other routers listen for this one."""
+        """Return the addresses at which peers accept calls."""
         return self._fleet.peer_addresses
 
     def weights_age_s(self, model: str) -> float:
-        """Return for how long the newest weights of a model are named."""
+        """Return how long ago the newest weights of a model were released."""
         return self._fleet.cluster_state.current_release(model).age_s
 
     async def run(self) -> Exit:
-        """Serve until a stop signal, then end what is open."""
+        """Serve until a stop signal, then drain open requests."""
         self._signals.listen()
         on_sighup(self._reload)
         self.start()
@@ -136,7 +136,7 @@
         return Exit.OK
 
     def start(self) -> None:
-        """Listen and follow the store."""
+        """Start listening and watching the store."""
         callers = self._settings.callers_address
         self._caller_server.listen(callers.host, callers.port)
         ready = self._settings.ready_address
@@ -149,18 +149,18 @@
         _log.info('Started.', callers=self._caller_server.address)
 
     async def stop(self) -> None:
-        """Hand the lease over and end open requests in the time given."""
+        """Release the lease and drain open requests within ``drain_s``."""
         self._stopping = True
-        handing_over = asyncio.create_task(self._planner.stop())
-        leaving = asyncio.create_task(self._fleet.deregister())
+        releasing = asyncio.create_task(self._planner.stop())
+        deregistering = asyncio.create_task(self._fleet.deregister())
         await self._drain()
-        handing_over.cancel()
-        leaving.cancel()
+        releasing.cancel()
+        deregistering.cancel()
         self._fleet.close()
         _log.info('Stopped.', open=self._caller_server.open_requests)
 
     async def close(self) -> None:
-        """End everything at once, open requests included."""
+        """Stop immediately and close open requests."""
         self._stopping = True
         self._planner.close()
         self._caller_server.stop_listening()
@@ -170,30 +170,33 @@
         self._fleet.close()
 
     async def _drain(self) -> None:
-        began_s = time.monotonic()
-        end_s = began_s + self._settings.bounds.drain_s - CLOSE_S
+        start_s = time.monotonic()
+        end_s = start_s + self._settings.bounds.drain_s - CLOSE_S
         self._caller_server.begin_drain()
         await asyncio.sleep(OUT_OF_ROTATION_S)
         self._caller_server.stop_listening()
         while self._caller_server.open_requests and time.monotonic() < end_s:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_DRAIN_CHECK_INTERVAL_S)
         await self._caller_server.close()
         self._ready.close()
         self._metrics.close()
 
-    def _take_directory(self, directory: RoutingConfig) -> None:
-        self._caller_server.set_idle_timeout(directory.limits.idle_s)
+    def _apply_routing_config(self, routing_config: RoutingConfig) -> None:
+        self._caller_server.set_idle_timeout(routing_config.limits.idle_s)
 
     def _metrics_page(self) -> Page:
         self._fleet.update_age_metrics()
         return metrics_page()
 
     def _reload(self) -> None:
-        """Take new bounds; what is listened on changes with a restart."""
+        """Apply new bounds; all other settings need a restart."""
         try:
-            settings = self._read_again()
+            settings = self._reload_settings()
         except SettingsError as error:
-            _log.error('Keeps the old settings.', error=str(error))
+            _log.error(
+                'Could not read the settings; keeps the previous ones.',
+                error=str(error),
+            )
             return
         self._fleet.cluster_state.set_bounds(settings.bounds)
         _log.info(
@@ -206,4 +209,4 @@
         )
 
     async def _serve(self, request: CallerRequest, reply: CallerReply) -> None:
-        await RequestExchange(self._serving, request, reply).run()
+        await RequestExchange(self._context, request, reply).run()
--- a/packages/daemon/src/lacewing_daemon/direct/_settings.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_settings.py
@@ -12,12 +12,14 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what the deployment promises its callers; seconds.
+    """Hold the guarantees of the deployment to callers; times in seconds.
 
     ``drain_s``: a process is killed this long after SIGTERM.
-    ``revoke_s``: a key that was taken away is refused within this time.
-    ``lease_s``: orders of two holders to one upstream are this far apart.
-    ``weights_s``: requests begin on weights no older than this.
+    ``revoke_s``: a revoked key is refused within this time.
+    ``lease_s``: minimum time between orders of two lease holders to one
+    upstream.
+    ``weights_s``: requests start on weights superseded for no longer than
+    this.
     ``repeat_ratio``, ``repeat_slack``, ``repeat_window_s``: the retry
     budget of all routers together for one service.
     """
@@ -34,9 +36,9 @@
 class DirectSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Hold all settings of one direct router.
 
-    ``callers``, ``ready``, ``peers`` and ``metrics`` are ``ip:port`` to
-    listen on, the last two '' for none; ``platform`` is the store's.
-    ``peers`` is for the other routers.
+    ``callers``, ``ready``, ``peers`` and ``metrics`` are the ``ip:port`` to
+    listen on, the last two '' for none; ``platform`` is the address of the
+    store. Other routers call at ``peers``.
     """
 
     process_id: str
@@ -52,20 +54,20 @@
 
     @property
     def callers_address(self) -> Address:
-        """Return where callers connect."""
+        """Return the address that callers connect to."""
         return parse_address(self.callers)
 
     @property
     def ready_address(self) -> Address:
-        """Return where the balancer asks whether to send connections."""
+        """Return the address of the readiness page for the balancer."""
         return parse_address(self.ready)
 
 
-_MAY_BE_EMPTY = ('peers', 'metrics')
+_OPTIONAL_ADDRESSES = ('peers', 'metrics')
 
 
 def read_direct_settings(path: Path) -> DirectSettings:
-    """Read settings from a file; raise SettingsError naming the field."""
+    """Read settings from a file; SettingsError names an invalid field."""
     try:
         text = path.read_bytes()
     except OSError as error:
@@ -74,14 +76,14 @@
         settings = msgspec.json.decode(text, type=DirectSettings)
     except msgspec.DecodeError as error:
         raise SettingsError(f'settings: {error}') from error
-    _check(settings)
+    _validate(settings)
     return settings
 
 
-def _check(settings: DirectSettings) -> None:
+def _validate(settings: DirectSettings) -> None:
     for field in ('callers', 'ready', 'platform', 'peers', 'metrics'):
         text = getattr(settings, field)
-        if field in _MAY_BE_EMPTY and not text:
+        if field in _OPTIONAL_ADDRESSES and not text:
             continue
         try:
             parse_address(text)
--- a/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_stream_relay.py
@@ -1,4 +1,4 @@
-"""Relay a stream of events to a caller, over more than one upstream."""
+"""Relay a stream of events to a caller from one or more upstreams."""
 
 from lacewing_daemon.direct._caller_reply import CallerReply
 from lacewing_daemon.direct._events import event_id
@@ -7,10 +7,10 @@
 
 
 class StreamRelay:
-    """Pass each event on once and in order.
+    """Forward each event once and in order.
 
-    After an upstream broke off, the next one may begin with events that the
-    caller has already; those are dropped by their ids.
+    After an interrupted stream, the next upstream may start with events that
+    the caller already has; they are dropped by their ids.
     """
 
     def __init__(self, reply: CallerReply, after_event: int | None) -> None:
@@ -20,7 +20,7 @@
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the caller has a part of the answer."""
+        """Return whether the head of the answer was sent."""
         return self._reply.has_started
 
     @property
@@ -29,10 +29,10 @@
         return self._last_event
 
     async def forward(self, head: ReplyHead, piece: bytes) -> None:
-        """Pass on the events that are whole; the first begins the answer."""
+        """Forward complete events; the first call sends the head."""
         if not self._reply.has_started:
             self._reply.send_head(head.status, head.headers)
-        fresh = []
+        new_events = []
         for event in self._splitter.feed(piece):
             number = event_id(event)
             if number is not None:
@@ -40,12 +40,12 @@
                     if number <= self._last_event:
                         continue
                 self._last_event = number
-            fresh.append(event)
-        if fresh:
-            await self._reply.write(b''.join(fresh))
+            new_events.append(event)
+        if new_events:
+            await self._reply.write(b''.join(new_events))
 
     async def end(self, head: ReplyHead) -> None:
-        """Complete the answer with what follows the last event."""
+        """Send the bytes after the last event and complete the answer."""
         if not self._reply.has_started:
             self._reply.send_head(head.status, head.headers)
         if self._splitter.remainder:
@@ -53,5 +53,5 @@
         self._reply.end()
 
     def restart(self) -> None:
-        """Forget the half event of an upstream that broke off."""
+        """Discard the partial event of an interrupted stream."""
         self._splitter = EventSplitter()
