--- a/features/direct_bodies.feature
+++ b/features/direct_bodies.feature
@@ -1,4 +1,4 @@
-Feature: Bodies that are slow or answered early mix nothing up
+Feature: Slow bodies and early answers do not corrupt other requests
 
   Background:
     Given a store with a configuration
@@ -6,25 +6,24 @@
     And a direct router
 
   Scenario: An early answer leaves no bytes for the next request
-    # Symptom: an upstream runs a request that nobody sent.
-    # Sequence: it refuses a long request before its body is in and keeps the
-    #   connection; the rest of the body is given up, and the next request is
-    #   sent where that rest is due.
-    # Cause: a connection was used again with a part of a body not sent.
+    # Guards against an upstream that runs a request that nobody sent: it
+    # refuses a long request before it has received the body and keeps the
+    # connection open. The router stops sending the body but reuses the
+    # connection, so the next request is read as the rest of that body.
     When a caller sends a body of 8000000 bytes
-    And a caller fetches a record once the upstream is used again
-    Then the record comes whole
-    And every connection of the upstream held whole requests only
+    And a caller fetches a record once the upstream is no longer excluded
+    Then the record is complete
+    And every connection of the upstream carried complete requests only
 
-  Scenario: A body that comes slowly is passed on whole
-    # Symptom: an upstream gets a part of a body.
-    # Sequence: a caller sends its body in pieces with pauses.
-    # Cause: a request was passed on before it was whole.
+  Scenario: A body that is received slowly is forwarded completely
+    # Guards against an upstream that receives a part of a body: a caller
+    # sends its body in pieces with pauses, and the request is forwarded
+    # before it is complete.
     When a caller sends a body of 5000 bytes in 10 slow pieces
-    Then the upstream got that body once and whole
+    Then the upstream received that body once and complete
 
-  Scenario: A caller that leaves in the middle of its body runs nothing
-    When a caller leaves after half of its body
+  Scenario: A request whose caller disconnects within its body is not run
+    When a caller disconnects after half of its body
     And a caller fetches a record
-    Then the record comes whole
-    And the upstream ran that record alone
+    Then the record is complete
+    And the upstream ran that request alone
--- a/features/direct_settings.feature
+++ b/features/direct_settings.feature
@@ -1,6 +1,6 @@
 Feature: Settings of a direct router are checked
 
-  Scenario Outline: A wrong field is named with what was expected
+  Scenario Outline: The error names the invalid field and what is expected
     When settings of a direct router have <value> at <field>
     Then they are refused with "<message>"
 
@@ -13,6 +13,6 @@
       | bounds.drain_s | "soon"    | $.bounds.drain_s                        |
       | log_level      | "loud"    | $.log_level                             |
 
-  Scenario: The template of the users' platform gives valid settings
-    When the template is filled with the fields that the platform gives
-    Then the settings are valid and hold the platform's bounds in seconds
+  Scenario: The template for the platform renders to valid settings
+    When the template is filled with the fields that the platform provides
+    Then the settings are valid and have the platform's bounds in seconds
--- a/features/steps/body_steps.py
+++ b/features/steps/body_steps.py
@@ -1,4 +1,4 @@
-"""Check how direct routers treat bodies that are slow or cut short."""
+"""Check how direct routers handle slow and incomplete bodies."""
 
 import asyncio
 import http.client
@@ -17,29 +17,29 @@
 
 MAX_BODY_BYTES = 12_000_000
 LONG_BYTES = 100_000
-PAUSE_S = 0.02
-NAME = 'reg-early'
+PIECE_INTERVAL_S = 0.02
+UPSTREAM_ID = 'reg-early'
 
 
 @dataclass
-class _Exchange:
-    """Hold what one connection of the upstream received, by request."""
+class _ConnectionRecord:
+    """Record the requests that arrived on one connection."""
 
     requests: list[tuple[str, bytes]] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)
+    invalid_lines: list[str] = field(default_factory=list)
 
 
 class _EarlyUpstream:
-    """Answer long requests when their head is in, and read on later."""
+    """Answer long requests after their head and read their bodies later."""
 
     def __init__(self) -> None:
-        self.exchanges: list[_Exchange] = []
+        self.connections: list[_ConnectionRecord] = []
         self.ran: list[str] = []
         self.address = ''
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a port that the system chooses."""
+        """Listen on an ephemeral port."""
         self._server = await asyncio.start_server(
             self._serve, '127.0.0.1', 0, limit=64 * 1024
         )
@@ -54,27 +54,27 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        exchange = _Exchange()
-        self.exchanges.append(exchange)
+        record = _ConnectionRecord()
+        self.connections.append(record)
         try:
-            while await self._one(exchange, reader, writer):
+            while await self._serve_request(record, reader, writer):
                 pass
         except (ConnectionError, asyncio.IncompleteReadError):
-            # The router closed the connection, which it may at any time.
+            # The router may close a connection at any time.
             return
         finally:
             writer.close()
 
-    async def _one(
+    async def _serve_request(
         self,
-        exchange: _Exchange,
+        record: _ConnectionRecord,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
         head = (await reader.readuntil(b'\r\n\r\n')).decode('latin1')
         lines = head.split('\r\n')
         if not lines[0].endswith(' HTTP/1.1'):
-            exchange.faults.append(lines[0][:60])
+            record.invalid_lines.append(lines[0][:60])
             return False
         headers = {}
         for line in lines[1:]:
@@ -84,22 +84,24 @@
         length = int(headers.get('content-length', '0'))
         if length > LONG_BYTES:
             writer.write(
-                _answer(name, 503, b'', {PREFIX + 'Not-Executed': '1'})
+                _response(name, 503, b'', {PREFIX + 'Not-Executed': '1'})
             )
             await writer.drain()
             await reader.readexactly(length)
             return True
         body = await reader.readexactly(length)
-        exchange.requests.append((lines[0], body))
+        record.requests.append((lines[0], body))
         self.ran.append(lines[0])
         writer.write(
-            _answer(name, 200, b'whole', {PREFIX + 'Response-Signature': 's'})
+            _response(
+                name, 200, b'whole', {PREFIX + 'Response-Signature': 's'}
+            )
         )
         await writer.drain()
         return True
 
 
-def _answer(
+def _response(
     name: str, status: int, body: bytes, headers: dict[str, str]
 ) -> bytes:
     lines = [f'HTTP/1.1 {status} X', f'{PREFIX}Request-Id: {name}']
@@ -110,8 +112,8 @@
 
 
 @given('an upstream that answers before it has read a body')
-def step_early(context: Context) -> None:
-    """Start it, register it, and let callers send long bodies."""
+def step_early_upstream(context: Context) -> None:
+    """Start and register the upstream; allow long bodies."""
     bench = direct_bench(context)
     context.early = _EarlyUpstream()
     bench.run(context.early.start())
@@ -126,13 +128,13 @@
         'ColdRemainingMs': 0,
         'Sequence': 1,
     }
-    bench.on_loop(lambda: bench.store.put('servers', NAME, entry))
+    bench.on_loop(lambda: bench.store.put('servers', UPSTREAM_ID, entry))
     bench.configure(Limits={'MaxBodyBytes': MAX_BODY_BYTES})
 
 
 @when('a caller sends a body of {size:d} bytes')
 def step_long(context: Context, size: int) -> None:
-    """Send a body in one go."""
+    """Send a body at once; the upstream refuses it."""
     bench = direct_bench(context)
     answer = bench.ask('/certificates/1', KEY, 'POST', b'x' * size)
     assert answer.status == 503, answer
@@ -140,36 +142,36 @@
 
 @when('a caller sends a body of {size:d} bytes in {count:d} slow pieces')
 def step_slow(context: Context, size: int, count: int) -> None:
-    """Send it piece by piece."""
+    """Send a body in pieces with pauses."""
     context.body = bytes(number % 251 for number in range(size))
-    connection = _begin(context, size)
+    connection = _send_head(context, size)
     piece = size // count
     for number in range(count):
         connection.send(context.body[number * piece : (number + 1) * piece])
-        time.sleep(PAUSE_S)
+        time.sleep(PIECE_INTERVAL_S)
     response = connection.getresponse()
     assert response.status == 200, response.status
     assert response.read() == b'whole'
     connection.close()
 
 
-@when('a caller fetches a record once the upstream is used again')
-def step_again(context: Context) -> None:
-    """Ask until the pause after its refusal is over."""
+@when('a caller fetches a record once the upstream is no longer excluded')
+def step_fetch_again(context: Context) -> None:
+    """Retry until the exclusion after the refusal is over."""
     bench = direct_bench(context)
     bench.until(lambda: bench.ask().status == 200, 'an answer')
 
 
-@when('a caller leaves after half of its body')
-def step_half(context: Context) -> None:
-    """Close the connection in the middle."""
-    connection = _begin(context, 1000)
+@when('a caller disconnects after half of its body')
+def step_disconnect(context: Context) -> None:
+    """Close the connection in the middle of the body."""
+    connection = _send_head(context, 1000)
     connection.send(b'x' * 500)
-    time.sleep(PAUSE_S)
+    time.sleep(PIECE_INTERVAL_S)
     connection.close()
 
 
-def _begin(context: Context, size: int) -> http.client.HTTPConnection:
+def _send_head(context: Context, size: int) -> http.client.HTTPConnection:
     connection = direct_bench(context).connect()
     connection.putrequest('POST', '/certificates/2', skip_host=True)
     for name, value in (
@@ -184,32 +186,32 @@
     return connection
 
 
-@then('the record comes whole')
-def step_record(context: Context) -> None:
+@then('the record is complete')
+def step_complete_record(context: Context) -> None:
     """Check the last answer."""
     answer = direct_bench(context).answer
     assert (answer.status, answer.body) == (200, b'whole'), answer
 
 
-@then('every connection of the upstream held whole requests only')
-def step_only_whole(context: Context) -> None:
-    """Check that no body was read as a head, and one record ran."""
-    for exchange in context.early.exchanges:
-        assert not exchange.faults, exchange.faults
+@then('every connection of the upstream carried complete requests only')
+def step_complete_requests(context: Context) -> None:
+    """Check that no body was read as a head and that one request ran."""
+    for record in context.early.connections:
+        assert not record.invalid_lines, record.invalid_lines
     assert len(context.early.ran) == 1, context.early.ran
 
 
-@then('the upstream got that body once and whole')
-def step_got(context: Context) -> None:
-    """Compare the bodies."""
-    got: list[bytes] = []
-    for exchange in context.early.exchanges:
-        got.extend(body for _, body in exchange.requests)
-    assert got == [context.body], len(got)
+@then('the upstream received that body once and complete')
+def step_received_body(context: Context) -> None:
+    """Compare the received bodies with the body sent."""
+    received: list[bytes] = []
+    for record in context.early.connections:
+        received.extend(body for _, body in record.requests)
+    assert received == [context.body], len(received)
 
 
-@then('the upstream ran that record alone')
-def step_alone(context: Context) -> None:
-    """Check what it ran."""
+@then('the upstream ran that request alone')
+def step_single_run(context: Context) -> None:
+    """Check that the upstream ran only the fetch of the record."""
     assert len(context.early.ran) == 1, context.early.ran
     assert context.early.ran[0].startswith('GET /records/'), context.early.ran
--- a/features/steps/direct_settings_steps.py
+++ b/features/steps/direct_settings_steps.py
@@ -1,4 +1,4 @@
-"""Check the settings of direct routers and the template for them."""
+"""Check the settings of direct routers and their template."""
 
 import json
 import re
@@ -14,7 +14,7 @@
 from lacewing_daemon.direct import read_direct_settings
 
 TEMPLATE = Path('deploy/router.json')
-VALID: dict[str, Any] = {
+VALID_SETTINGS: dict[str, Any] = {
     'process_id': 'router-1',
     'availability_zone': 'east',
     'callers': '10.0.0.1:80',
@@ -30,7 +30,7 @@
         'repeat_window_s': 10,
     },
 }
-FIELDS = {
+TEMPLATE_FIELDS = {
     'NodeName': 'frontend-1',
     'Zone': 'east',
     'IpAddress': '10.0.0.1',
@@ -48,7 +48,7 @@
 }
 
 
-def _read(text: str) -> DirectSettings:
+def _read_settings(text: str) -> DirectSettings:
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory) / 'settings.json'
         path.write_text(text)
@@ -56,43 +56,43 @@
 
 
 @when('settings of a direct router have {value} at {field}')
-def step_wrong(context: Context, value: str, field: str) -> None:
-    """Change one field of valid settings."""
-    settings = json.loads(json.dumps(VALID))
-    holder = settings
-    *groups, name = field.split('.')
-    for group in groups:
-        holder = holder[group]
-    holder[name] = json.loads(value)
+def step_invalid_field(context: Context, value: str, field: str) -> None:
+    """Read settings of which one field is changed."""
+    settings = json.loads(json.dumps(VALID_SETTINGS))
+    section = settings
+    *sections, name = field.split('.')
+    for section_name in sections:
+        section = section[section_name]
+    section[name] = json.loads(value)
     context.refused = ''
     try:
-        _read(json.dumps(settings))
+        _read_settings(json.dumps(settings))
     except SettingsError as error:
         context.refused = str(error)
 
 
 @then('they are refused with "{message}"')
 def step_refused(context: Context, message: str) -> None:
-    """Check the message."""
+    """Check the error message."""
     assert message in context.refused, context.refused
 
 
-@when('the template is filled with the fields that the platform gives')
+@when('the template is filled with the fields that the platform provides')
 def step_template(context: Context) -> None:
-    """Fill each placeholder as the platform does."""
+    """Replace each placeholder as the platform does."""
 
-    def fill(match: re.Match[str]) -> str:
-        name, _, form = match.group(1).partition('|')
-        value = FIELDS[name]
-        return json.dumps(value) if form == 'json' else str(value)
+    def render(match: re.Match[str]) -> str:
+        name, _, filter_name = match.group(1).partition('|')
+        value = TEMPLATE_FIELDS[name]
+        return json.dumps(value) if filter_name == 'json' else str(value)
 
-    text = re.sub(r'\{\{([^}]+)\}\}', fill, TEMPLATE.read_text())
-    context.settings = _read(text)
+    text = re.sub(r'\{\{([^}]+)\}\}', render, TEMPLATE.read_text())
+    context.settings = _read_settings(text)
 
 
-@then("the settings are valid and hold the platform's bounds in seconds")
+@then("the settings are valid and have the platform's bounds in seconds")
 def step_valid(context: Context) -> None:
-    """Check addresses and units."""
+    """Check addresses and the units of bounds."""
     settings: DirectSettings = context.settings
     assert settings.callers == '10.0.0.1:80', settings
     assert settings.metrics == '10.0.0.1:9464', settings
--- a/features/steps/direct_steps.py
+++ b/features/steps/direct_steps.py
@@ -1,4 +1,4 @@
-"""Check a direct router against stand-ins of the platform."""
+"""Check a direct router against fakes of the platform."""
 
 import threading
 
@@ -15,11 +15,11 @@
 from support.direct_bench import PREFIX
 from support.direct_bench import sleep
 
-CALLERS = 8
+CALLER_COUNT = 8
 ALL_EVENTS = b''.join(
     f'id: {number}\ndata: word {number}\n\n'.encode() for number in range(1, 5)
 )
-FOREIGN = {
+RESERVED_HEADERS = {
     PREFIX + 'Tenant': 'south',
     PREFIX + 'Target-Instance': 'reg-9',
     PREFIX + 'Cache-Salt': 'stolen',
@@ -32,12 +32,12 @@
     PREFIX + 'Request-Urgency': '0',
     'Kv-From': 'stolen',
 }
-FOREIGN_VALUES = frozenset(('stolen', 'south', 'reg-9', '77'))
+RESERVED_VALUES = frozenset(('stolen', 'south', 'reg-9', '77'))
 
 
 @given('a store with a configuration')
 def step_store(context: Context) -> None:
-    """Write the first configuration and name the first weights."""
+    """Write the first configuration and release the first weights."""
     bench = direct_bench(context)
     bench.configure()
     name_weights(context, 1)
@@ -65,9 +65,9 @@
     bench.until_ready()
 
 
-@given('engines that copy the memory of runs')
+@given('engines that copy the KV cache of runs')
 def step_copies(context: Context) -> None:
-    """Say so in the configuration and connect the engines."""
+    """Enable copies in the configuration and set the engines' peers."""
     bench = direct_bench(context)
     services = []
     for service in bench.config['Services']:
@@ -79,9 +79,9 @@
     version = bench.config['Version']
     bench.until(
         lambda: bench.routers[0].configuration == version,
-        'the configuration in force',
+        'the active configuration',
     )
-    _connect_engines(context)
+    _set_engine_peers(context)
 
 
 @given('a third engine')
@@ -92,10 +92,10 @@
     bench.until(
         lambda: 'eng-3' in bench.routers[0].upstream_ids, 'a third engine'
     )
-    _connect_engines(context)
+    _set_engine_peers(context)
 
 
-def _connect_engines(context: Context) -> None:
+def _set_engine_peers(context: Context) -> None:
     peers = {}
     for upstream in direct_bench(context).upstreams.values():
         peers[upstream.server.address] = upstream
@@ -105,46 +105,46 @@
 
 @given('the copies are lost')
 def step_copies_lost(context: Context) -> None:
-    """Let engines copy to nowhere."""
+    """Remove the peers that engines copy to."""
     for upstream in direct_bench(context).upstreams.values():
         upstream.peers = {}
 
 
 @given('the next upstream {behaves}')
-def step_next(context: Context, behaves: str) -> None:
-    """Script the first request that any upstream gets."""
+def step_next_behaviour(context: Context, behaves: str) -> None:
+    """Script the answer to the next request at any upstream."""
     bench = direct_bench(context)
     script = next(iter(bench.upstreams.values())).script
     script.append(Behaviour(behaves))
-    # All share the script of the first one.
+    # All upstreams share one script, as the router may choose any of them.
     for upstream in bench.upstreams.values():
         upstream.script = script
 
 
 @given('all upstreams shed')
 def step_all_shed(context: Context) -> None:
-    """Have all upstreams refuse."""
+    """Have all upstreams refuse requests."""
     for upstream in direct_bench(context).upstreams.values():
         upstream.always = Behaviour.SHED
 
 
 @given('all upstreams reset their answers')
 def step_all_reset(context: Context) -> None:
-    """Have all upstreams break off what they run."""
+    """Have all upstreams run requests and close before an answer."""
     for upstream in direct_bench(context).upstreams.values():
         upstream.always = Behaviour.RESET
 
 
 @given('engines that leave orders unanswered')
-def step_ignore(context: Context) -> None:
-    """Have engines take no order."""
+def step_unanswered_orders(context: Context) -> None:
+    """Have engines ignore load orders."""
     for upstream in direct_bench(context).upstreams.values():
         upstream.ignores_orders = True
 
 
 @given('all upstreams hold their answers')
-def step_hold(context: Context) -> None:
-    """Have upstreams run requests and answer none."""
+def step_all_hold(context: Context) -> None:
+    """Have upstreams run requests without answering them."""
     bench = direct_bench(context)
     for upstream in bench.upstreams.values():
         bench.on_loop(upstream.hold.clear)
@@ -152,71 +152,73 @@
 
 @when('a caller fetches a record')
 def step_fetch(context: Context) -> None:
-    """Send a request that may repeat."""
+    """Send a request that can be retried."""
     direct_bench(context).ask()
 
 
 @when('a caller orders a certificate')
 def step_certificate(context: Context) -> None:
-    """Send a request that must not repeat."""
+    """Send a request that must not run twice."""
     direct_bench(context).ask('/certificates/1', KEY, 'POST', b'for Ali')
 
 
 @when('a caller orders {count:d} certificates')
 def step_certificates(context: Context, count: int) -> None:
-    """Send several requests that must not repeat."""
+    """Send several requests that must not run twice."""
     for _ in range(count):
         step_certificate(context)
 
 
-@when('callers talk to models that pause for {seconds:f} seconds')
+@when(
+    'callers request non-resumable streams with pauses of {seconds:f} seconds'
+)
 def step_pausing(context: Context, seconds: float) -> None:
-    """Let the engines pause with several streams each."""
+    """Open several streams to engines that pause between events."""
     bench = direct_bench(context)
     for upstream in bench.upstreams.values():
         upstream.pause_s = seconds
     callers = []
-    for _ in range(CALLERS):
-        caller = threading.Thread(target=lambda: _talk(bench))
+    for _ in range(CALLER_COUNT):
+        caller = threading.Thread(target=lambda: _request_stream(bench))
         callers.append(caller)
         caller.start()
     for caller in callers:
         caller.join()
 
 
-def _talk(bench: DirectBench) -> None:
-    # Those that come at once beyond what may wait at an engine are refused.
+def _request_stream(bench: DirectBench) -> None:
+    # Streams beyond the queue limit of the engines are refused; retry them.
     while bench.ask_model('/talk/1').status == 503:
         continue
 
 
 @then('each of them gets all events once and in order')
 def step_all_events(context: Context) -> None:
-    """Check every answer that began."""
+    """Check every answer that was not refused."""
     served = []
     for answer in direct_bench(context).answers:
         if answer.status == 503:
             continue
         served.append(answer)
         assert answer.body == ALL_EVENTS, answer
-    assert len(served) == CALLERS, served
+    assert len(served) == CALLER_COUNT, served
 
 
 @when('a caller asks a model')
 def step_model(context: Context) -> None:
-    """Ask for a stream that may be resumed."""
+    """Request a resumable stream."""
     direct_bench(context).ask_model()
 
 
-@when('a caller talks to a model')
-def step_talk(context: Context) -> None:
-    """Ask for a stream that may not be resumed."""
+@when('a caller requests a non-resumable stream')
+def step_non_resumable(context: Context) -> None:
+    """Request a stream that must not run twice."""
     direct_bench(context).ask_model('/talk/1')
 
 
-@when('a caller asks a model and leaves')
-def step_leave(context: Context) -> None:
-    """Ask for a stream and close the connection at once."""
+@when('a caller asks a model and disconnects')
+def step_disconnect(context: Context) -> None:
+    """Request a stream and close the connection once it runs."""
     bench = direct_bench(context)
     connection = bench.connect()
     connection.request(
@@ -239,7 +241,7 @@
 
 @when('a caller sends a request with {what}')
 def step_not_allowed(context: Context, what: str) -> None:
-    """Send a request that must be refused."""
+    """Send a request that the router must refuse."""
     bench = direct_bench(context)
     if what == 'a path without route':
         bench.ask('/nowhere/1')
@@ -249,17 +251,17 @@
         bench.ask(method='POST', body=b'x' * 100001)
 
 
-@when("a caller sends headers that are the system's to set")
-def step_foreign(context: Context) -> None:
-    """Send them with a plain request and with a prompt."""
+@when('a caller sends headers reserved for the system')
+def step_reserved_headers(context: Context) -> None:
+    """Send reserved headers with a plain request and with a prompt."""
     bench = direct_bench(context)
-    bench.ask('/records/1', KEY, 'GET', None, **FOREIGN)
-    bench.ask_model(**FOREIGN)
+    bench.ask('/records/1', KEY, 'GET', None, **RESERVED_HEADERS)
+    bench.ask_model(**RESERVED_HEADERS)
 
 
 @when('a caller of each team asks a model')
 def step_teams(context: Context) -> None:
-    """Ask with the keys of both teams."""
+    """Send a prompt with the key of each team."""
     bench = direct_bench(context)
     bench.ask_model()
     bench.ask_model(Authorization=f'Token {OTHER_KEY}')
@@ -267,7 +269,7 @@
 
 @when('a caller asks a model before and after new weights')
 def step_weights(context: Context) -> None:
-    """Name new weights between two prompts and wait until they are in."""
+    """Release new weights between two prompts and await their loads."""
     bench = direct_bench(context)
     bench.ask_model()
     name_weights(context, 2)
@@ -282,26 +284,26 @@
 
 
 def name_weights(context: Context, version: int) -> None:
-    """Name a version of the model's weights as the operator does."""
+    """Release a version of the model's weights as an operator does."""
     bench = direct_bench(context)
-    named = {'Model': MODEL, 'Version': version}
-    bench.on_loop(lambda: bench.store.put('versions', MODEL, named))
+    versions_sent = {'Model': MODEL, 'Version': version}
+    bench.on_loop(lambda: bench.store.put('versions', MODEL, versions_sent))
 
 
-@then('one engine ran the request and the other went on with it')
-def step_went_on(context: Context) -> None:
-    """Count the runs, and those that go on."""
+@then('one engine ran the request and the other continued it')
+def step_continued(context: Context) -> None:
+    """Check that the one run was continued once."""
     bench = direct_bench(context)
     assert len(bench.ran()) == 1, bench.ran()
-    went_on = []
+    continued = []
     for upstream in bench.upstreams.values():
-        went_on.extend(upstream.went_on)
-    assert went_on == bench.ran(), went_on
+        continued.extend(upstream.went_on)
+    assert continued == bench.ran(), continued
 
 
-@then('one engine ran the request and no other went on with it')
-def step_not_on(context: Context) -> None:
-    """Check that only the engine that was to go on was asked."""
+@then('one engine ran the request and no other continued it')
+def step_not_continued(context: Context) -> None:
+    """Check that no third engine received the request."""
     bench = direct_bench(context)
     assert len(bench.ran()) == 1, bench.ran()
     received = 0
@@ -312,8 +314,8 @@
 
 
 @then('the answer is 200 with the whole body and its proof')
-def step_whole(context: Context) -> None:
-    """Check status, body and proof."""
+def step_complete(context: Context) -> None:
+    """Check status, body and signature."""
     answer = direct_bench(context).answer
     assert answer.status == 200, answer
     assert answer.body == b'whole body', answer
@@ -322,7 +324,7 @@
 
 @then('the answer is 200 with all events once and in order')
 def step_events(context: Context) -> None:
-    """Check that the stream is whole."""
+    """Check that the stream is complete."""
     answer = direct_bench(context).answer
     assert answer.status == 200, answer
     assert answer.body == ALL_EVENTS, answer
@@ -330,15 +332,15 @@
 
 @then('the answer is {status:d}')
 def step_status(context: Context, status: int) -> None:
-    """Check the status; no proof goes with the system's own answers."""
+    """Check the status; answers of the router carry no signature."""
     answer = direct_bench(context).answer
     assert answer.status == status, answer
     assert PREFIX + 'Response-Signature' not in answer.headers, answer
 
 
-@then("the answer is 500 with the upstream's proof")
-def step_failure(context: Context) -> None:
-    """Check that a failure is passed on as it is."""
+@then("the answer is 500 with the upstream's signature")
+def step_error_response(context: Context) -> None:
+    """Check that an error response is forwarded unchanged."""
     answer = direct_bench(context).answer
     assert answer.status == 500, answer
     assert answer.body == b'no', answer
@@ -346,21 +348,21 @@
 
 
 @then('the answer is 503 with a time to come back')
-def step_come_back(context: Context) -> None:
-    """Check the refusal."""
+def step_retry_after(context: Context) -> None:
+    """Check the refusal and its Retry-After."""
     answer = direct_bench(context).answer
     assert answer.status == 503, answer
     assert float(answer.headers['Retry-After']) > 0, answer
 
 
-@then("the caller's answer is cut")
-def step_cut(context: Context) -> None:
-    """Check that the caller notices the end."""
+@then("the caller's answer is aborted")
+def step_aborted(context: Context) -> None:
+    """Check that the caller sees an incomplete answer."""
     assert direct_bench(context).answer.status == 0
 
 
-@then('the upstream was told its id, its team and the time left')
-def step_told(context: Context) -> None:
+@then('the upstream received its id, the team and the remaining time')
+def step_headers(context: Context) -> None:
     """Check the headers that the router sets."""
     received = direct_bench(context).received()[0]
     assert received.headers[PREFIX + 'Target-Instance'] in ('reg-1', 'reg-2')
@@ -369,34 +371,34 @@
     assert 0 < left_ms <= 3000, left_ms
 
 
-@then('the upstream was not told the key')
+@then('the upstream did not receive the key')
 def step_no_key(context: Context) -> None:
-    """Check that the key stays at the router."""
+    """Check that the key is in no header."""
     for received in direct_bench(context).received():
         assert 'Authorization' not in received.headers
         assert KEY not in str(received.headers)
 
 
 @then("the upstream received none of the caller's values")
-def step_none(context: Context) -> None:
+def step_no_reserved_values(context: Context) -> None:
     """Check every header that upstreams received."""
     received = direct_bench(context).received()
     assert len(received) == 2, received
     for request in received:
         for name, value in request.headers.get_all():
-            assert value not in FOREIGN_VALUES, (name, value)
+            assert value not in RESERVED_VALUES, (name, value)
         assert request.headers.get(PREFIX + 'Request-Urgency') != '0'
 
 
 @then('no upstream received anything')
-def step_nothing(context: Context) -> None:
-    """Check that nothing was passed on."""
+def step_none_received(context: Context) -> None:
+    """Check that nothing was forwarded."""
     assert not direct_bench(context).received()
 
 
 @then('exactly one upstream received the request')
 def step_one_received(context: Context) -> None:
-    """Wait a moment for a second send, which must not come."""
+    """Wait for a moment and check that no second send follows."""
     bench = direct_bench(context)
     bench.run(sleep(0.3))
     assert len(bench.received()) == 1, bench.received()
@@ -404,29 +406,29 @@
 
 @then('exactly one upstream ran the request')
 def step_one_ran(context: Context) -> None:
-    """Check the runs."""
+    """Check the number of runs."""
     bench = direct_bench(context)
     assert len(bench.ran()) == 1, bench.ran()
 
 
 @then('no upstream ran anything')
 def step_no_run(context: Context) -> None:
-    """Check that a refusal as not run is true."""
+    """Check that a request refused as not run did not run."""
     assert not direct_bench(context).ran()
 
 
-@then('the second engine was told the last event')
+@then('the second engine received the id of the last event')
 def step_last_event(context: Context) -> None:
-    """Check where the stream went on."""
-    told = []
+    """Check after which event the stream was continued."""
+    last_event_ids = []
     for received in direct_bench(context).received():
-        told.append(received.headers.get('Last-Event-Id', ''))
-    assert sorted(told) == ['', '1'], told
+        last_event_ids.append(received.headers.get('Last-Event-Id', ''))
+    assert sorted(last_event_ids) == ['', '1'], last_event_ids
 
 
-@then('the engine learns that its work is not wanted')
+@then('the engine sees the closed connection')
 def step_cancelled(context: Context) -> None:
-    """Wait until the engine sees the closed connection."""
+    """Wait until the engine cancels the run."""
     bench = direct_bench(context)
 
     def cancelled() -> bool:
@@ -435,19 +437,19 @@
     bench.until(cancelled, 'a cancelled run')
 
 
-@then('the engines were told two different walls')
-def step_walls(context: Context) -> None:
-    """Check the names of the caches."""
-    walls = set()
+@then('the engines received two different cache salts')
+def step_salts(context: Context) -> None:
+    """Compare the cache salts."""
+    salts = set()
     for received in direct_bench(context).received():
-        walls.add(received.headers[PREFIX + 'Cache-Salt'])
-    assert len(walls) == 2, walls
+        salts.add(received.headers[PREFIX + 'Cache-Salt'])
+    assert len(salts) == 2, salts
 
 
-@then('every prompt named the version that its engine had')
+@then('every prompt carried the version that its engine had')
 def step_versions(context: Context) -> None:
-    """Check that both versions were named, in order."""
-    named = []
+    """Check that prompts carried both versions."""
+    versions_sent = []
     for received in direct_bench(context).received():
-        named.append(received.headers[PREFIX + 'Expected-Version'])
-    assert sorted(set(named)) == ['1', '2'], named
+        versions_sent.append(received.headers[PREFIX + 'Expected-Version'])
+    assert sorted(set(versions_sent)) == ['1', '2'], versions_sent
--- a/features/support/direct_bench.py
+++ b/features/support/direct_bench.py
@@ -1,4 +1,4 @@
-"""Run direct routers against stand-ins of the platform, on loopback."""
+"""Run direct routers against fakes of the platform on loopback."""
 
 import asyncio
 import http.client
@@ -46,13 +46,13 @@
     repeat_window_s=10.0,
 )
 
-# Shorter than in use, so that scenarios need not wait for the late engines.
+# Shorter than the default, so that scenarios do not wait long for late loads.
 LOAD_LATE_MS = 400.0
 
 
 @dataclass(frozen=True)
 class Answer:
-    """Hold an answer as its caller saw it; status 0: cut."""
+    """Hold an answer as its caller received it; status 0: incomplete."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -60,12 +60,12 @@
 
 
 class DirectBench:
-    """Hold a store, upstreams and one or two routers."""
+    """Run a store, upstreams and one or more routers."""
 
     def __init__(self) -> None:
         self._loop = LoopThread()
         self._sites: list[PlatformSite] = []
-        self._sent = 0
+        self._request_count = 0
         self.routers: list[DirectRouter] = []
         self.process: RouterProcess | None = None
         self.upstreams: dict[str, FakeUpstream] = {}
@@ -74,13 +74,13 @@
         self.bounds = BOUNDS
         self.routers_call = False
         self.peer_ports_taken = False
-        self._taken: list[socket.socket] = []
+        self._reserved_sockets: list[socket.socket] = []
         self.store: FakeStore = self.run(_start_store())
 
     @property
     def last_request(self) -> str:
         """Return the id of the last request sent."""
-        return f'request-{self._sent}'
+        return f'request-{self._request_count}'
 
     @property
     def answer(self) -> Answer:
@@ -88,11 +88,11 @@
         return self.answers[-1]
 
     def run(self, coroutine: Any) -> Any:
-        """Run a coroutine beside the routers."""
+        """Run a coroutine on the event loop of the routers."""
         return self._loop.call(coroutine)
 
     def on_loop(self, call: Callable[[], Any]) -> Any:
-        """Call a function on the routers' loop."""
+        """Call a function on the event loop of the routers."""
         return self.run(_call(call))
 
     def configure(self, **changes: Any) -> None:
@@ -118,29 +118,29 @@
         return upstream
 
     def register(self, name: str, state: str = 'ready') -> None:
-        """Write an upstream's entry."""
+        """Write the store entry of an upstream."""
         entry = self.upstreams[name].store_entry(state)
         self.on_loop(lambda: self.store.put('servers', name, entry))
 
     def start_again(self, name: str) -> FakeUpstream:
-        """Start an upstream anew under its id and register it."""
+        """Start a new incarnation of an upstream and register it."""
         upstream = self.upstreams[name]
         self.on_loop(upstream.start_new_incarnation)
         self.register(name)
         return upstream
 
     def start_router(self, name: str = 'router-1') -> DirectRouter:
-        """Start a router and wait until it is ready."""
+        """Start a router; it may not be ready yet."""
         router: DirectRouter = self.run(self._start_router(name))
         self.routers.append(router)
         return router
 
     def start_process(self, directory: Path) -> RouterProcess:
-        """Start a router as a process of its own; callers go there."""
+        """Start a router as a separate process; callers connect to it."""
         self.process = RouterProcess(directory, self.store.address, BOUNDS)
         process = self.process
         self.until(lambda: process.callers_address != '', 'a started router')
-        self.until(lambda: self.ask().status == 200, 'a router that serves')
+        self.until(lambda: self.ask().status == 200, 'a serving router')
         return process
 
     def until(self, holds: Callable[[], bool], what: str) -> None:
@@ -192,10 +192,10 @@
         **headers: str,
     ) -> Answer:
         """Send one request on a connection and read its answer."""
-        self._sent += 1
+        self._request_count += 1
         sent = {
             'Host': HOST,
-            PREFIX + 'Request-Id': f'request-{self._sent}',
+            PREFIX + 'Request-Id': f'request-{self._request_count}',
             PREFIX + 'Deadline-Ms': '3000',
             'Authorization': f'Token {key}',
         }
@@ -217,14 +217,14 @@
         return self.ask(path, KEY, 'POST', b'prompt', **{**PROMPT, **headers})
 
     def received(self) -> list[Any]:
-        """Return all requests that upstreams received."""
+        """Return the requests that upstreams received."""
         found = []
         for upstream in self.upstreams.values():
             found.extend(upstream.received)
         return found
 
     def ran(self) -> list[str]:
-        """Return the ids of all requests that upstreams ran."""
+        """Return the ids of the requests that upstreams ran."""
         found = []
         for upstream in self.upstreams.values():
             found.extend(upstream.ran)
@@ -244,17 +244,17 @@
         self._loop.close()
 
     def free_peer_ports(self) -> None:
-        """Let go of the ports at which routers listen for each other."""
-        for taken in self._taken:
-            taken.close()
-        self._taken.clear()
+        """Release the ports at which routers listen for peers."""
+        for reserved in self._reserved_sockets:
+            reserved.close()
+        self._reserved_sockets.clear()
 
     def _peers_address(self) -> str:
         if not self.routers_call:
             return ''
         port = free_ports()
         if self.peer_ports_taken:
-            self._taken.extend(bind_sockets(port, '127.0.0.1'))
+            self._reserved_sockets.extend(bind_sockets(port, '127.0.0.1'))
         return f'127.0.0.1:{port}'
 
     async def _start_router(self, name: str) -> DirectRouter:
@@ -276,7 +276,7 @@
 
 
 def direct_bench(context: Context) -> DirectBench:
-    """Return the scenario's bench, made at the first call."""
+    """Return the bench of the scenario; create it at the first call."""
     if not hasattr(context, 'direct'):
         context.direct = DirectBench()
         context.resources.callback(context.direct.close)
@@ -342,5 +342,5 @@
 
 
 async def sleep(seconds: float) -> None:
-    """Let the routers run for a while."""
+    """Wait on the event loop while the routers run."""
     await asyncio.sleep(seconds)
--- a/features/support/router_process.py
+++ b/features/support/router_process.py
@@ -1,4 +1,4 @@
-"""Run a direct router as a process whose log lines go to a file."""
+"""Run a direct router as a process that logs to a file."""
 
 import os
 import subprocess
@@ -9,16 +9,16 @@
 from lacewing_common.log_lines import LogLine
 from lacewing_daemon.direct._settings import Bounds
 
-_SETTINGS = 'LACEWINGSTACK_NODE_FILE'
-_STARTED = b'main: Started.'
+_SETTINGS_VARIABLE = 'LACEWINGSTACK_NODE_FILE'
+_STARTED_MARKER = b'main: Started.'
 
 
-class _Started(msgspec.Struct, frozen=True):
+class _StartedLine(msgspec.Struct, frozen=True):
     callers: str
 
 
 class RouterProcess:
-    """Hold a router process and its log."""
+    """Control a router process and read its log."""
 
     def __init__(self, directory: Path, store: str, bounds: Bounds) -> None:
         self.log = directory / 'router.log'
@@ -39,28 +39,28 @@
 
     @property
     def callers_address(self) -> str:
-        """Return where callers connect, '' until the log tells."""
+        """Return the callers' address, '' until it is in the log."""
         for line in self.log.read_bytes().splitlines():
-            if _STARTED in line:
-                return msgspec.json.decode(line, type=_Started).callers
+            if _STARTED_MARKER in line:
+                return msgspec.json.decode(line, type=_StartedLine).callers
         return ''
 
     def told(self, request_id: str) -> bool:
-        """Tell whether the log has a line of a request."""
+        """Return whether the log has a line of a request."""
         for line in self.log.read_bytes().splitlines():
             if msgspec.json.decode(line, type=LogLine).request == request_id:
                 return True
         return False
 
     def events(self) -> list[LogLine]:
-        """Return all lines of the log so far."""
+        """Return the lines of the log so far."""
         found = []
         for line in self.log.read_bytes().splitlines():
             found.append(msgspec.json.decode(line, type=LogLine))
         return found
 
     def restart(self) -> None:
-        """Kill the process and start it again; the log goes on."""
+        """Kill the process and start it again with the same log."""
         self.end()
         self._process = self._start()
 
@@ -68,13 +68,13 @@
         with self.log.open('ab') as log:
             return subprocess.Popen(
                 [sys.executable, '-m', 'lacewing_platform'],
-                env={**os.environ, _SETTINGS: str(self._settings)},
+                env={**os.environ, _SETTINGS_VARIABLE: str(self._settings)},
                 stdout=log,
                 stderr=log,
             )
 
     def stop(self) -> None:
-        """Ask the process to stop and wait for its end."""
+        """Send SIGTERM to the process and wait for its end."""
         self._process.terminate()
         self._process.wait()
 
