--- a/features/direct.feature
+++ b/features/direct.feature
@@ -107,7 +107,7 @@
     Scenario: A stream interrupted in the middle of an event is continued
       # Guards against a partial event or a duplicate one: an engine crashes
       # in the middle of an event and another one continues after the last
-      # event, but the partial event was forwarded or the whole stream is
+      # event. The partial event must not be forwarded, nor the whole stream
       # sent again.
       Given the next upstream cut
       When a caller asks a model
@@ -117,8 +117,8 @@
     Scenario: A stream whose continuation fails is aborted for its caller
       # Guards against three of four events that pass for the whole stream:
       # the connection to an engine breaks, and the engine that is to
-      # continue answers with a complete, signed error response. Any complete
-      # answer ended the stream regularly.
+      # continue answers with a complete, signed error response, which is
+      # taken for the regular end of the stream.
       Given the next upstream cut
       And the next upstream fails
       When a caller asks a model
@@ -135,9 +135,9 @@
 
     Scenario: A run that must not start again continues from its copy
       # Guards against the loss of dozens of answers with each crash of an
-      # engine: its streams that must not run twice were all aborted, because
-      # the KV cache of these runs was on no other engine and continuing them
-      # would have meant to start them again.
+      # engine: its streams that must not run twice are all aborted if the KV
+      # cache of these runs is on no other engine, as continuing them there
+      # would start them again.
       Given engines that copy the KV cache of runs
       And the next upstream cut
       When a caller requests a non-resumable stream
@@ -146,16 +146,16 @@
 
     Scenario: Streams that can't be continued are not moved on suspicion
       # Guards against answers that are aborted although their engine is
-      # alive: an engine sends no event for 0.25 s and then continues. All
-      # streams of a silent engine were interrupted, even those that must not
-      # start again and have no copy.
+      # alive: an engine sends no event for 0.25 s and then continues, but
+      # all its streams are interrupted, even those that must not start again
+      # and have no copy.
       When callers request non-resumable streams with pauses of 0.6 seconds
       Then each of them gets all events once and in order
 
     Scenario: A run whose engine fell silent continues from its copy
       # Guards against callers that abandon streams without events: an engine
-      # loses power after the first event and its connections stay open. The
-      # router waited until the deadline for a stream that must not start
+      # loses power after the first event and its connections stay open, and
+      # the router waits until the deadline for a stream that must not start
       # again.
       Given engines that copy the KV cache of runs
       And the next upstream stalls
@@ -166,8 +166,8 @@
     Scenario: Without its copy a run that must not start again is aborted
       # Guards against a second run of a request that must not run twice: an
       # engine crashes, the one that should have the copy refuses, and the
-      # request is sent to a third. The refusal to continue was taken for the
-      # refusal of a new request.
+      # request is sent to a third, as the refusal to continue is taken for
+      # the refusal of a new request.
       Given engines that copy the KV cache of runs
       And a third engine
       And the copies are lost
@@ -193,7 +193,7 @@
     Scenario: New weights have their own cache salt
       # Guards against an answer from KV cache of superseded weights: the
       # weights change and a request hits parts cached before, as the cache
-      # salt did not include the version of the weights.
+      # salt does not include the version of the weights.
       When a caller asks a model before and after new weights
       Then the engines received two different cache salts
       And every prompt carried the version that its engine had
--- a/packages/daemon/src/lacewing_daemon/direct/_attempt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_attempt.py
@@ -60,7 +60,7 @@
 
 
 class Attempt:
-    """Receive the answer to one request."""
+    """Send one request and receive its answer."""
 
     def __init__(
         self,
--- a/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_caller_server.py
@@ -117,8 +117,8 @@
         """Read the next request of a connection."""
         assert isinstance(request_conn, HTTP1Connection)
         if self._stopping and server_conn in self._used:
-            # The head of the last answer on this connection was sent before
-            # the drain began, so it could not announce the close.
+            # The last request was read before the drain began, so its answer
+            # may have been sent too early to announce the close.
             request_conn.stream.close()
         else:
             request_conn.stream.set_nodelay(True)
--- a/packages/daemon/src/lacewing_daemon/direct/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_exchange.py
@@ -229,7 +229,7 @@
                 self._request,
                 admitted,
                 self._tried_ids,
-                self._left_ms(admitted, end_s, now_s),
+                self._first_event_limit_ms(admitted, end_s, now_s),
                 now_s,
             )
         if isinstance(placed, NoCapacity):
@@ -279,10 +279,10 @@
         ``other_moves``: runs that are moved at the same moment and spend
         their retries after this check.
 
-        A stream is interrupted on suspicion alone; its engine may be alive
-        and would have continued. If no run, retry, capacity or time is left
-        then, the caller's answer is aborted needlessly, so all of these are
-        checked before.
+        A stream is interrupted on suspicion alone: its engine may be alive
+        and would have continued. If the request then has no run, retry or
+        time left, or no upstream has capacity, the caller's answer is
+        aborted needlessly. All of these are therefore checked before.
         """
         now_s = time.monotonic()
         budget = self._fleet.cluster_state.retry_budget(admitted.service)
@@ -309,7 +309,7 @@
         placed = placer.place(self._request, admitted, tried, left_ms, now_s)
         return not isinstance(placed, NoCapacity)
 
-    def _left_ms(
+    def _first_event_limit_ms(
         self, admitted: Admitted, end_s: float, now_s: float
     ) -> float:
         """Return the time within which a first event must be expected.
