--- a/packages/daemon/src/lacewing_daemon/direct/_candidates.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_candidates.py
@@ -1,4 +1,4 @@
-"""Order the upstreams that a request may go to."""
+"""Select and order the candidate upstreams of a request."""
 
 from hashlib import blake2b
 
@@ -10,34 +10,34 @@
 
 
 def prompt_key(prompt: Prompt) -> bytes:
-    """Return the key of a prompt's longest shared part."""
-    part = prompt.parts[-1:] if not prompt.shared else prompt.shared[-1:]
-    text = ''.join(one.part_id for one in part)
+    """Return the rendezvous key of a prompt's longest shared part."""
+    parts = prompt.parts[-1:] if not prompt.shared else prompt.shared[-1:]
+    text = ''.join(part.part_id for part in parts)
     return blake2b(text.encode(), digest_size=_KEY_BYTES).digest()
 
 
 def by_preference(
     prompt: Prompt, states: list[UpstreamState]
 ) -> list[UpstreamState]:
-    """Order engines for a prompt alike at all routers.
+    """Order engines by rendezvous hashing, so that all routers agree.
 
-    Where several cost the same, routers then send one subject to one engine
-    and different subjects to different ones. In the order of the list all
-    of them would meet at the first idle engine.
+    Where several engines cost the same, all routers then send one subject
+    to the same engine and different subjects to different engines. In the
+    order of the list they would all choose the first idle engine.
     """
     ids = tuple(state.upstream.upstream_id for state in states)
     if len(ids) < 2:
         return states
     rank = {}
     key = prompt_key(prompt)
-    for position, name in enumerate(rank_workers(key, ids, len(ids))):
-        rank[name] = position
-    return sorted(states, key=lambda one: rank[one.upstream.upstream_id])
+    for position, upstream_id in enumerate(rank_workers(key, ids, len(ids))):
+        rank[upstream_id] = position
+    return sorted(states, key=lambda state: rank[state.upstream.upstream_id])
 
 
 def responsive_upstreams(
     states: list[UpstreamState], now_s: float
 ) -> list[UpstreamState]:
-    """Leave out upstreams that have fallen silent, unless all have."""
-    answering = [state for state in states if not state.is_silent(now_s)]
-    return answering or states
+    """Return the upstreams that are not silent, or all if every one is."""
+    responsive = [state for state in states if not state.is_silent(now_s)]
+    return responsive or states
--- a/packages/daemon/src/lacewing_daemon/direct/_choice.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_choice.py
@@ -1,4 +1,4 @@
-"""Decide where a request is placed, or that it can't be served in time.
+"""Choose the upstream of a request, or refuse what can't be served in time.
 
 Pure functions on snapshots: no clock, no input or output.
 """
@@ -13,32 +13,33 @@
 class EngineView:
     """Hold what a router knows of one engine for one prompt.
 
-    ``waiting_ms``: reading still to be done for requests sent before.
-    ``read_ms``: reading this prompt there, fetching included.
-    ``waiting``, ``in_flight``: this router's requests there, without a
-    first event and in all. ``load_in_ms``: time until it loads new weights,
-    negative once it has begun, infinite if it does not. ``handicap_ms``:
-    how much sooner than there a first event must be expected elsewhere.
+    ``wait_ms``: queueing time behind the prefill of earlier requests.
+    ``prefill_ms``: prefill of this prompt there, including KV fetches.
+    ``waiting``, ``in_flight``: this router's requests there, those without
+    a first event and all. ``load_in_ms``: time until the engine loads new
+    weights, negative once it has begun, infinite if it loads none.
+    ``handicap_ms``: cost added to the expected first event when engines are
+    compared.
     """
 
     upstream_id: str
     in_zone: bool
-    waiting_ms: float
-    read_ms: float
+    wait_ms: float
+    prefill_ms: float
     waiting: int
     in_flight: int
     load_in_ms: float = float('inf')
     handicap_ms: float = 0.0
 
 
-# Without any engine there is no time by which one has room. Those that can't
-# be reached are tried again after half a second.
-NOBODY_MS = 500.0
+# Without any candidate there is no estimate of when capacity is available.
+# Unreachable upstreams are tried again after half a second.
+NO_ENGINE_RETRY_MS = 500.0
 
 
 @dataclass(frozen=True)
 class Placement:
-    """Place a request; its first event is expected in ``first_event_ms``."""
+    """Name the chosen upstream; a first event is due in ``first_event_ms``."""
 
     upstream_id: str
     first_event_ms: float
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class NoCapacity:
-    """Refuse a request; room is expected after ``retry_after_ms``."""
+    """Refuse a request; capacity is expected in ``retry_after_ms``."""
 
     retry_after_ms: float
 
@@ -59,88 +60,92 @@
 ) -> Placement | NoCapacity:
     """Place a prompt whose first event is wanted within ``left_ms``.
 
-    Load pattern: more prompts than the engines can read in time. An engine
-    that takes all of them answers all late, as each waits behind the
-    reading of those before; refusing what surely comes late keeps the rest
-    on time. The bounds in flight hold where other routers' requests, which
-    this one does not see, make the estimate too low. Of engines that cost
-    the same the first wins, so the order is the caller's to choose.
-    ``answer_tokens`` are those expected; what a run makes after its engine
-    has loaded new weights is lost.
+    Load pattern: more prompts than the engines can prefill in time. An
+    engine that accepts all of them answers all late, as each waits for the
+    prefill of those before it; refusing the prompts that would be late
+    keeps the rest on time. The limits on requests in flight apply where
+    requests of other routers, which this one does not see, make the
+    estimate too low. Of engines with equal costs the first wins, so the
+    caller determines the preference by the order. ``answer_tokens`` is the
+    expected length of the answer; tokens that a run generates after its
+    engine has loaded new weights are lost.
     """
     if not engines:
-        return NoCapacity(NOBODY_MS)
+        return NoCapacity(NO_ENGINE_RETRY_MS)
     best: Placement | None = None
     best_cost_ms = 0.0
-    soonest_ms = float('inf')
+    earliest_ms = float('inf')
     for engine in engines:
-        first_ms = _first_ms(engine, policy)
-        soonest_ms = min(soonest_ms, first_ms)
+        first_event_ms = _first_event_ms(engine, policy)
+        earliest_ms = min(earliest_ms, first_event_ms)
         if engine.waiting >= policy.max_waiting:
             continue
         if engine.in_flight >= policy.max_in_flight:
             continue
-        if first_ms > left_ms:
+        if first_event_ms > left_ms:
             continue
-        cost_ms = first_ms + engine.handicap_ms
+        cost_ms = first_event_ms + engine.handicap_ms
         if not engine.in_zone:
             cost_ms += policy.other_zone_ms
-        cost_ms += _lost_ms(engine, first_ms, answer_tokens, policy)
+        cost_ms += _lost_run_cost_ms(
+            engine, first_event_ms, answer_tokens, policy
+        )
         if best is None or cost_ms < best_cost_ms:
-            best = Placement(engine.upstream_id, first_ms)
+            best = Placement(engine.upstream_id, first_event_ms)
             best_cost_ms = cost_ms
     if best is not None:
         return best
-    return NoCapacity(max(policy.step_ms, soonest_ms - left_ms))
+    return NoCapacity(max(policy.step_ms, earliest_ms - left_ms))
 
 
-def _first_ms(engine: EngineView, policy: LoadPolicy) -> float:
+def _first_event_ms(engine: EngineView, policy: LoadPolicy) -> float:
     """Return when a first event is expected.
 
-    An engine refuses what it has not begun when its load starts, and takes
-    nothing until it ends: sent there, a request costs a repeat.
+    When a load begins, an engine refuses the requests that it has not
+    started, and it accepts none until the load ends: a request sent there
+    costs a retry.
     """
-    first_ms = engine.waiting_ms + engine.read_ms + policy.step_ms
+    first_event_ms = engine.wait_ms + engine.prefill_ms + policy.step_ms
     loaded_ms = engine.load_in_ms + policy.load_ms
-    if loaded_ms <= 0 or first_ms <= engine.load_in_ms:
-        return first_ms
-    return loaded_ms + engine.read_ms + policy.step_ms
+    if loaded_ms <= 0 or first_event_ms <= engine.load_in_ms:
+        return first_event_ms
+    return loaded_ms + engine.prefill_ms + policy.step_ms
 
 
-def _lost_ms(
+def _lost_run_cost_ms(
     engine: EngineView,
-    first_ms: float,
+    first_event_ms: float,
     answer_tokens: int,
     policy: LoadPolicy,
 ) -> float:
-    """Return what a load in the middle of the run counts for."""
+    """Return the cost of losing the part of a run after a load."""
     run_ms = answer_tokens * policy.step_ms
-    over_ms = first_ms + run_ms - engine.load_in_ms
-    if run_ms <= 0 or first_ms > engine.load_in_ms or over_ms <= 0:
+    lost_ms = first_event_ms + run_ms - engine.load_in_ms
+    if run_ms <= 0 or first_event_ms > engine.load_in_ms or lost_ms <= 0:
         return 0.0
-    return policy.lost_run_ms * min(1.0, over_ms / run_ms)
+    return policy.lost_run_ms * min(1.0, lost_ms / run_ms)
 
 
 @dataclass(frozen=True)
 class PlainView:
     """Hold what a router knows of one upstream of a plain service.
 
-    ``busy`` counts requests at the upstream, this router's and what it
-    last told of the others'. ``unused_s`` is the time since this router
-    sent there.
+    ``open_requests`` counts this router's requests at the upstream and
+    those of other routers by the load that it last reported. ``idle_s`` is
+    the time since this router last sent a request there.
     """
 
     upstream_id: str
     in_zone: bool
-    busy: int
+    open_requests: int
     slots: int
     in_flight: int
-    unused_s: float
+    idle_s: float
 
 
-# An upstream of a plain service sheds when its queue is full, and what waits
-# there for longer than one turn of its slots comes late.
-_TURNS = 2
+# An upstream of a plain service sheds load when its queue is full, and a
+# request that waits for more than one round of its slots is late.
+_MAX_SLOT_ROUNDS = 2
 
 
 def place_plain(
@@ -148,31 +153,33 @@
 ) -> Placement | NoCapacity:
     """Place a request of a plain service on the least busy upstream.
 
-    Load pattern: short requests on few slots. The least busy by its own
-    word and by this router's open requests wins; the own zone counts only
-    while a slot is free there, as a wait costs more than the way. Of equal
-    ones the longest unused wins: with the first of the list all routers
-    would meet at the same upstream.
+    Load pattern: short requests on few slots. The upstream with the fewest
+    open requests wins, by the load it reported and this router's own
+    requests. The router's own zone is preferred only while a slot is free
+    there, as queueing costs more than the network delay. Ties go to the
+    upstream that has been idle for longest: with the first of the list,
+    all routers would choose the same upstream.
     """
     best: PlainView | None = None
     best_rank = (0.0, 0, 0, 0.0)
     for upstream in upstreams:
-        if upstream.busy >= upstream.slots * _TURNS:
+        if upstream.open_requests >= upstream.slots * _MAX_SLOT_ROUNDS:
             continue
-        waits = max(0, upstream.busy - upstream.slots + 1)
+        queued = max(0, upstream.open_requests - upstream.slots + 1)
         rank = (
-            float(waits),
+            float(queued),
             int(not upstream.in_zone),
-            upstream.busy,
-            -upstream.unused_s,
+            upstream.open_requests,
+            -upstream.idle_s,
         )
         if best is None or rank < best_rank:
             best = upstream
             best_rank = rank
     if best is None:
-        return NoCapacity(_PLAIN_TURN_MS)
+        return NoCapacity(_PLAIN_ROUND_MS)
     return Placement(best.upstream_id, 0.0)
 
 
-# A turn of a plain service's slots: its requests work some tens of ms.
-_PLAIN_TURN_MS = 60.0
+# The time of one round of a plain service's slots: its requests run for some
+# tens of ms.
+_PLAIN_ROUND_MS = 60.0
--- a/packages/daemon/src/lacewing_daemon/direct/_first_event.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_first_event.py
@@ -1,4 +1,4 @@
-"""Learn from the events of one request how fast its engine works."""
+"""Record samples of the prefill speed from first events."""
 
 from lacewing_daemon.direct._call import Prompt
 from lacewing_daemon.direct._estimates import Estimates
@@ -13,10 +13,11 @@
     took_ms: float,
     now_s: float,
 ) -> None:
-    """Learn from the time to a first event.
+    """Record the time to a first event as a sample of the prefill speed.
 
-    Only if nothing is known to have waited before it, and if the engine was
-    not sent the prompt's own part before, which it may have kept.
+    A sample is taken only if no request is known to have been queued ahead
+    and if the prompt's own part was not sent to the engine before, as it may
+    be cached there.
     """
     estimates.record_expected_prefill(target.prefill_ms, now_s)
     if not target.is_first or target.wait_ms > target.lateness_ms:
--- a/packages/daemon/src/lacewing_daemon/direct/_placing.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_placing.py
@@ -1,4 +1,4 @@
-"""Build the snapshots that placing decides on, and the dispatch from it."""
+"""Choose an upstream from snapshots of the cluster state."""
 
 from dataclasses import dataclass
 from dataclasses import replace
@@ -31,24 +31,24 @@
 from lacewing_daemon.direct._weights_releases import superseded_for_s
 
 _MS = 1000.0
-# How much sooner than elsewhere a first event would have to come at an engine
-# whose weights are overdue as far as is known: it will refuse, which costs a
-# repeat and a pause. More than any target, so that it is asked last, and
-# still asked, as what is known of it may be old.
-OVERDUE_MS = 10_000.0
+# The handicap of an engine whose weights are overdue as far as is known: it
+# refuses, which costs a retry and a pause. Larger than any latency target, so
+# that such an engine is chosen last, and still chosen, as the known version
+# may be stale.
+OVERDUE_HANDICAP_MS = 10_000.0
 
 
 @dataclass(frozen=True)
-class _Asked:
-    """Hold what is the same for all engines that a prompt may go to."""
+class _PromptContext:
+    """Hold what is common to all candidate engines of a prompt."""
 
     prompt: Prompt
     admitted: Admitted
     engine: Engine
     kv_store: KvStore | None
-    named: ReleaseAge
-    namings: tuple[ReleaseAge, ...]
-    floor: int
+    current_release: ReleaseAge
+    releases: tuple[ReleaseAge, ...]
+    min_version: int
     urgency: int
     now_s: float
     policy: LoadPolicy
@@ -60,14 +60,14 @@
     def __init__(
         self, cluster_state: ClusterState, availability_zone: str
     ) -> None:
-        self._knowledge = cluster_state
+        self._cluster_state = cluster_state
         self._zone = availability_zone
-        self._kept = CachedParts(cluster_state)
+        self._cached_parts = CachedParts(cluster_state)
 
     @property
     def cached_parts(self) -> CachedParts:
-        """Return what is known of kept parts."""
-        return self._kept
+        """Return the record of cached parts."""
+        return self._cached_parts
 
     def place(
         self,
@@ -81,56 +81,60 @@
         engine = admitted.service.engine
         prompt = request.prompt
         usable = []
-        for state in self._knowledge.upstreams_of(admitted.service.name):
+        for state in self._cluster_state.upstreams_of(admitted.service.name):
             if state.upstream.upstream_id in excluded:
                 continue
             if engine is not None and prompt is not None:
                 if state.weights(prompt.model) is None:
-                    # Its entry, which another may have written, does not
-                    # name the model.
+                    # The entry, which another process may have written,
+                    # does not list the model.
                     continue
             if state.is_usable(now_s):
                 usable.append(state)
         usable = responsive_upstreams(usable, now_s)
         if engine is None or prompt is None:
-            return self._plain(usable, now_s)
-        namings = self._knowledge.releases(prompt.model)
-        asked = _Asked(
+            return self._place_plain(usable, now_s)
+        releases = self._cluster_state.releases(prompt.model)
+        context = _PromptContext(
             prompt,
             admitted,
             engine,
-            self._kept.kv_store_for(prompt),
-            self._knowledge.current_release(prompt.model),
-            namings,
-            min_allowed_version(namings, self._knowledge.old_weights_limit_s),
+            self._cached_parts.kv_store_for(prompt),
+            self._cluster_state.current_release(prompt.model),
+            releases,
+            min_allowed_version(
+                releases, self._cluster_state.old_weights_limit_s
+            ),
             urgency_of(admitted),
             now_s,
-            self._knowledge.policy_for(admitted.service.name),
+            self._cluster_state.policy_for(admitted.service.name),
+        )
+        return self._place_prompt(
+            context, by_preference(prompt, usable), left_ms
         )
-        return self._engine(asked, by_preference(prompt, usable), left_ms)
 
     def continuation(self, target: Target) -> Target | None:
-        """Return where a run goes on whose upstream is lost, None: nowhere."""
+        """Return where an interrupted run can continue, None if nowhere."""
         copy = target.copy_to
         if copy is None or copy.replaced or copy.upstream.leaving:
-            # A start that followed keeps no copy of before.
+            # A later incarnation does not have the copy.
             return None
         return replace(target, state=copy, copy_to=None, is_continuation=True)
 
     def copy_is_usable(
         self, request: CallerRequest, target: Target, now_s: float
     ) -> bool:
-        """Tell whether a run's copy is where it could go on by all known."""
-        there = self.continuation(target)
-        if there is None or request.prompt is None:
+        """Return whether a run could continue at its copy now."""
+        continuation = self.continuation(target)
+        if continuation is None or request.prompt is None:
             return False
-        state = there.state
+        state = continuation.state
         weights = state.weights(request.prompt.model)
         if target.weights is not None and weights != target.weights:
             return False
         return state.is_usable(now_s) and not state.is_silent(now_s)
 
-    def _plain(
+    def _place_plain(
         self, usable: list[UpstreamState], now_s: float
     ) -> Target | NoCapacity:
         views = []
@@ -153,144 +157,175 @@
             return placed
         return Target(states[placed.upstream_id], 0.0)
 
-    def _engine(
-        self, asked: _Asked, states: list[UpstreamState], left_ms: float
+    def _place_prompt(
+        self,
+        context: _PromptContext,
+        states: list[UpstreamState],
+        left_ms: float,
     ) -> Target | NoCapacity:
         views = []
         targets = {}
-        away_ms = _away_ms(asked)
+        non_preferred_ms = _non_preferred_ms(context)
         for position, state in enumerate(states):
-            target = self._target(asked, state)
+            target = self._target(context, state)
             targets[state.upstream.upstream_id] = target
             is_first = position == 0
-            view = self._view(asked, target, 0.0 if is_first else away_ms)
+            view = self._view(
+                context, target, 0.0 if is_first else non_preferred_ms
+            )
             views.append(view)
-        tokens = asked.prompt.expected_tokens
-        placed = place_prompt(views, left_ms, asked.policy, tokens)
+        tokens = context.prompt.expected_tokens
+        placed = place_prompt(views, left_ms, context.policy, tokens)
         if isinstance(placed, NoCapacity):
             return placed
         target = targets[placed.upstream_id]
-        others = tuple(targets.values())
-        copy_to = self._copy_to(asked, target, others, views, placed)
+        candidates = tuple(targets.values())
+        copy_to = self._copy_to(context, target, candidates, views, placed)
         return replace(
             target, first_event_ms=placed.first_event_ms, copy_to=copy_to
         )
 
-    def _target(self, asked: _Asked, state: UpstreamState) -> Target:
-        """Return how the request would be sent to one engine."""
-        prompt, now_s = asked.prompt, asked.now_s
-        weights = state.weights(prompt.model) or asked.named.version
-        # Nothing may begin on weights older than the floor by now; versions
-        # named since don't change that. What is known of the engine may be
-        # old itself, and nobody would tell: it is asked for the floor, and
-        # refuses if it has other weights.
-        weights = max(weights, asked.floor)
-        old_ms = superseded_for_s(asked.namings, weights) * _MS
-        wall = compute_cache_salt(asked.admitted.team, prompt.model, weights)
-        kv_store = asked.kv_store
-        excess_ms = state.lateness_ms(now_s)
-        policy = asked.policy
-        speed = policy.prefill_tokens_per_ms
-        own_ms = state.queued_prefill_ms(asked.urgency, speed)
-        # Other routers' requests are taken to need as much reading as a
-        # usual one of this router.
-        others_ms = state.other_waiting(now_s) * policy.usual_read_ms
-        waits_ms = own_ms + others_ms + excess_ms
+    def _target(self, context: _PromptContext, state: UpstreamState) -> Target:
+        """Return the target of the request at one engine."""
+        prompt, now_s = context.prompt, context.now_s
+        weights = (
+            state.weights(prompt.model) or context.current_release.version
+        )
+        # No run may begin on weights older than the minimum allowed version;
+        # later releases don't lower it. The known version of the engine may
+        # be stale without notice: the request asks for the minimum, and the
+        # engine refuses if it has other weights.
+        weights = max(weights, context.min_version)
+        superseded_ms = superseded_for_s(context.releases, weights) * _MS
+        cache_salt = compute_cache_salt(
+            context.admitted.team, prompt.model, weights
+        )
+        kv_store = context.kv_store
+        lateness_ms = state.lateness_ms(now_s)
+        policy = context.policy
+        tokens_per_ms = policy.prefill_tokens_per_ms
+        own_wait_ms = state.queued_prefill_ms(context.urgency, tokens_per_ms)
+        # Requests of other routers are assumed to need the usual prefill of
+        # this router's requests.
+        other_wait_ms = state.other_waiting(now_s) * policy.usual_read_ms
+        wait_ms = own_wait_ms + other_wait_ms + lateness_ms
         return Target(
             state,
-            self._kept.prefill_ms(
-                state, wall, prompt, asked.engine, kv_store, now_s, speed
+            self._cached_parts.prefill_ms(
+                state,
+                cache_salt,
+                prompt,
+                context.engine,
+                kv_store,
+                now_s,
+                tokens_per_ms,
             ),
-            wall,
+            cache_salt,
             weights or None,
             None if kv_store is None else kv_store.address,
-            self._kept.save_address(kv_store, wall, prompt, now_s),
-            asked.urgency,
-            wait_ms=waits_ms,
-            lateness_ms=excess_ms,
-            released_version=asked.named.version,
-            superseded_ms=old_ms,
-            is_first=_is_first(state, wall, prompt, now_s),
-            tokens_per_ms=speed,
+            self._cached_parts.save_address(
+                kv_store, cache_salt, prompt, now_s
+            ),
+            context.urgency,
+            wait_ms=wait_ms,
+            lateness_ms=lateness_ms,
+            released_version=context.current_release.version,
+            superseded_ms=superseded_ms,
+            is_first=_is_first(state, cache_salt, prompt, now_s),
+            tokens_per_ms=tokens_per_ms,
         )
 
     def _view(
-        self, asked: _Asked, target: Target, away_ms: float
+        self, context: _PromptContext, target: Target, non_preferred_ms: float
     ) -> EngineView:
-        """Return what deciding needs to know of one engine.
+        """Return the snapshot of one engine.
 
-        ``away_ms``: what being away from the first one counts for.
+        ``non_preferred_ms``: handicap of engines other than the first.
         """
         state = target.state
         upstream = state.upstream
-        model = asked.prompt.model
-        has = state.weights(model) or asked.named.version
-        handicap_ms = away_ms
-        # Answers count less from the first naming that the engine lacks.
-        old_s = superseded_for_s(asked.namings, has)
-        if old_s > asked.policy.old_weights_s:
-            handicap_ms += asked.policy.old_weights_ms
-        if has < asked.floor:
-            handicap_ms = OVERDUE_MS
+        model = context.prompt.model
+        version = state.weights(model) or context.current_release.version
+        handicap_ms = non_preferred_ms
+        # Answers lose value from the first release that the engine lacks.
+        superseded_s = superseded_for_s(context.releases, version)
+        if superseded_s > context.policy.old_weights_s:
+            handicap_ms += context.policy.old_weights_ms
+        if version < context.min_version:
+            handicap_ms = OVERDUE_HANDICAP_MS
         return EngineView(
             upstream.upstream_id,
             upstream.availability_zone == self._zone,
             target.wait_ms,
             target.prefill_ms,
-            state.waiting_count(asked.urgency),
+            state.waiting_count(context.urgency),
             state.in_flight,
-            self._load_in_ms(state, model, old_s, asked.named.age_s),
+            self._load_in_ms(
+                state, model, superseded_s, context.current_release.age_s
+            ),
             handicap_ms,
         )
 
     def _load_in_ms(
-        self, state: UpstreamState, model: str, old_s: float, age_s: float
+        self,
+        state: UpstreamState,
+        model: str,
+        superseded_s: float,
+        age_s: float,
     ) -> float:
-        """Return the time until an engine is to load, infinite for never."""
-        if old_s <= 0:
+        """Return the time until an engine loads weights, infinite if never."""
+        if superseded_s <= 0:
             return float('inf')
-        times = self._knowledge.load_schedule(model)
-        at_s = times.get(state.upstream.upstream_id, float('inf'))
-        near_s = nearly_overdue_after_s(self._knowledge.old_weights_limit_s)
-        return min(at_s - age_s, near_s - old_s) * _MS
+        schedule = self._cluster_state.load_schedule(model)
+        load_at_s = schedule.get(state.upstream.upstream_id, float('inf'))
+        nearly_overdue_s = nearly_overdue_after_s(
+            self._cluster_state.old_weights_limit_s
+        )
+        return min(load_at_s - age_s, nearly_overdue_s - superseded_s) * _MS
 
     def _copy_to(
         self,
-        asked: _Asked,
+        context: _PromptContext,
         target: Target,
-        others: tuple[Target, ...],
+        candidates: tuple[Target, ...],
         views: list[EngineView],
         placed: Placement,
     ) -> UpstreamState | None:
-        """Return where a copy of a run that must not begin again is kept."""
-        if not asked.engine.supports_copies or asked.admitted.route.can_retry:
+        """Return the copy upstream of a run that can't be retried."""
+        if (
+            not context.engine.supports_copies
+            or context.admitted.route.can_retry
+        ):
             return None
-        run_ms = asked.prompt.expected_tokens * asked.policy.step_ms
-        room = copy_token_limit(
-            asked.engine.kv_tokens * asked.policy.copies_part,
-            self._knowledge.router_count,
-            asked.prompt.tokens,
+        run_ms = context.prompt.expected_tokens * context.policy.step_ms
+        max_copy_tokens = copy_token_limit(
+            context.engine.kv_tokens * context.policy.copies_part,
+            self._cluster_state.router_count,
+            context.prompt.tokens,
         )
         ends_ms = placed.first_event_ms + run_ms
-        return choose_copy_upstream(target, others, views, ends_ms, room)
+        return choose_copy_upstream(
+            target, candidates, views, ends_ms, max_copy_tokens
+        )
 
 
 def _is_first(
-    state: UpstreamState, wall: str, prompt: Prompt, now_s: float
+    state: UpstreamState, cache_salt: str, prompt: Prompt, now_s: float
 ) -> bool:
-    """Tell whether a prompt's own part was not sent to an engine lately."""
+    """Return whether a prompt's own part was not sent to an engine lately."""
     if not prompt.parts:
         return True
-    return not state.has_part(wall, prompt.parts[-1].part_id, now_s)
+    return not state.has_part(cache_salt, prompt.parts[-1].part_id, now_s)
 
 
-def _away_ms(asked: _Asked) -> float:
-    """Return the reading that the first engine in order likely saves.
+def _non_preferred_ms(context: _PromptContext) -> float:
+    """Return the prefill that the preferred engine is expected to save.
 
-    Load pattern: many routers, each of which sees a subject rarely. By what
-    each has sent itself, all engines cost the same but for their queues, so a
-    subject is spread over them and read again at each.
+    Load pattern: many routers, each of which sees a subject rarely. Judged
+    by its own requests alone, a router finds equal costs at all engines
+    except for their queues, so a subject is spread over them and its prefill
+    is repeated at each.
     """
-    shared = sum(part.tokens for part in asked.prompt.shared)
-    likely = asked.policy.kept_at_first * shared
-    return likely / asked.policy.prefill_tokens_per_ms
+    shared = sum(part.tokens for part in context.prompt.shared)
+    likely_cached = context.policy.kept_at_first * shared
+    return likely_cached / context.policy.prefill_tokens_per_ms
--- a/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
@@ -1,4 +1,4 @@
-"""Hold what one router knows of one upstream beyond its entry."""
+"""Track what one router knows of one upstream beyond its entry."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -11,37 +11,38 @@
 from lacewing_daemon.direct._upstream import Upstream
 
 _MS = 1000.0
-# Told loads are some hundred ms old when they matter; older ones mislead.
-TOLD_FRESH_S = 0.6
-# Parts are evicted within seconds; what was sent longer ago is not relied on.
-HELD_S = 8.0
-# How much of the newest lateness is taken, how fast it fades, and the most
-# that one first event counts for, so that a single one shuns no engine.
-EXCESS_WEIGHT = 0.5
-EXCESS_FADES_S = 1.0
-MOST_EXCESS_MS = 300.0
-# Failures in a row after which an upstream is left alone for a while.
-FAILURES_TO_SHUN = 3
-# Medians of first events are 0.03 to 0.15 s, and a loaded engine is heard all
-# the time; a request alone with a long prompt may be quiet for longer. The
-# value itself was chosen, not measured: twice the longest silence seen.
-SILENT_S = 0.35
-SILENT_TIMES = 2.0
-# However slow engines are, one that lost its power gets no more after this:
-# its connections show it after 1.5 s.
-MOST_SILENT_S = 0.9
-SHUN_BASE_S = 0.5
-SHUN_CAP_S = 4.0
-
-
-# An engine reads prompts in pieces of so many tokens; one that is under way
-# is half read on average.
-PIECE_TOKENS = 4096
+# Reported loads are some hundred ms old when they are used; older ones
+# mislead.
+LOAD_TTL_S = 0.6
+# Parts are evicted within seconds; one sent longer ago may be gone.
+PART_TTL_S = 8.0
+# Smoothing weight of the latest lateness, its decay time, and the maximum
+# that one first event counts for, so that a single one excludes no engine.
+LATENESS_WEIGHT = 0.5
+LATENESS_DECAY_S = 1.0
+MAX_LATENESS_MS = 300.0
+# Consecutive failures after which an upstream is excluded for a while.
+FAILURES_TO_EXCLUDE = 3
+# The median time to a first event is 0.03 to 0.15 s, and a loaded engine
+# sends data all the time; a single request with a long prompt may be silent
+# for longer. The limit is twice the longest silence observed.
+MIN_SILENCE_S = 0.35
+SILENCE_FACTOR = 2.0
+# However slow engines are, one that lost power gets no more requests after
+# this: its connections show the loss after 1.5 s.
+MAX_SILENCE_S = 0.9
+EXCLUDE_BASE_S = 0.5
+EXCLUDE_MAX_S = 4.0
+
+
+# An engine prefills prompts in chunks of this many tokens; the current chunk
+# is half done on average.
+CHUNK_TOKENS = 4096
 
 
 @dataclass(frozen=True, eq=False)
 class OpenRequest:
-    """Hold what one open request adds to an upstream's load."""
+    """Hold the load of one open request on an upstream."""
 
     prefill_ms: float
     urgency: int
@@ -51,31 +52,31 @@
 class UpstreamState:
     """Track one incarnation of an upstream.
 
-    ``silence_history`` is that of its service, learnt from all its upstreams.
+    ``silence_history`` is shared by all upstreams of its service.
     """
 
     def __init__(
         self, upstream: Upstream, silence_history: SilenceHistory | None = None
     ) -> None:
         self._upstream = upstream
-        self._pace = (
+        self._silence_history = (
             SilenceHistory() if silence_history is None else silence_history
         )
-        self._ended = False
+        self._replaced = False
         self._in_flight = 0
         self._sent_s = 0.0
-        self._heard_s = 0.0
+        self._last_data_s = 0.0
         self._waiting: set[OpenRequest] = set()
         self._weights = dict(upstream.weights)
-        self._told: UpstreamLoad | None = None
-        self._told_s = 0.0
-        self._told_own = 0
+        self._load: UpstreamLoad | None = None
+        self._load_s = 0.0
+        self._own_at_load = 0
         self._copy_tokens = 0
-        self._excess_ms = 0.0
-        self._excess_s = 0.0
+        self._lateness_ms = 0.0
+        self._lateness_s = 0.0
         self._failures = 0
-        self._shunned_until_s = 0.0
-        self._held: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._excluded_until_s = 0.0
+        self._cached: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     @property
     def upstream(self) -> Upstream:
@@ -84,150 +85,153 @@
 
     @property
     def replaced(self) -> bool:
-        """Tell whether the upstream has started again since."""
-        return self._ended
+        """Return whether a later incarnation has replaced this one."""
+        return self._replaced
 
     @property
     def silence_history(self) -> SilenceHistory:
-        """Return the pace of its service's upstreams."""
-        return self._pace
+        """Return the silence history of its service's upstreams."""
+        return self._silence_history
 
     @property
     def in_flight(self) -> int:
-        """Return this router's open requests there."""
+        """Return the number of this router's open requests there."""
         return self._in_flight
 
     def idle_s(self, now_s: float) -> float:
-        """Return the time since a request was sent there."""
+        """Return the time since the last request was sent there."""
         return now_s - self._sent_s
 
     def waiting_count(self, urgency: int) -> int:
-        """Return those without a first event that go before an urgency."""
+        """Count queued requests that precede one of a given urgency."""
         count = 0
-        for ticket in self._waiting:
-            if ticket.urgency <= urgency:
+        for request in self._waiting:
+            if request.urgency <= urgency:
                 count += 1
         return count
 
     def queued_prefill_ms(self, urgency: int, tokens_per_ms: float) -> float:
-        """Return the reading that goes before a request of an urgency.
+        """Return the prefill that precedes a request of a given urgency.
 
-        Of what is less urgent at most the piece that is being read.
+        Of less urgent requests, only the current chunk counts.
         """
         before_ms = 0.0
         after_ms = 0.0
-        for ticket in self._waiting:
-            if ticket.urgency <= urgency:
-                before_ms += ticket.prefill_ms
+        for request in self._waiting:
+            if request.urgency <= urgency:
+                before_ms += request.prefill_ms
             else:
-                after_ms += ticket.prefill_ms
-        return before_ms + min(after_ms, PIECE_TOKENS / 2 / tokens_per_ms)
+                after_ms += request.prefill_ms
+        return before_ms + min(after_ms, CHUNK_TOKENS / 2 / tokens_per_ms)
 
     def update(self, upstream: Upstream) -> None:
-        """Take a new entry; one that is leaving never comes back.
+        """Apply a new entry; an upstream that is leaving stays so.
 
-        Entries are read in the order in which they were written. One with a
-        lower version than the entry before says that the engine went back,
-        as by an order that was late; taken for old news, it would be asked
-        for weights that it refuses for ever, and be ordered none.
+        Entries are read in the order in which they were written. A lower
+        version than in the previous entry means that the engine went back to
+        it, as by a late order. If it were ignored as stale, requests would
+        ask for weights that the engine refuses forever, and no load would be
+        ordered.
         """
         if self._upstream.leaving and not upstream.leaving:
             return
-        before = self._upstream.weights
+        previous = self._upstream.weights
         self._upstream = upstream
         for model, version in upstream.weights.items():
-            if version < before.get(model, 0):
+            if version < previous.get(model, 0):
                 self._weights[model] = version
                 continue
             self.update_weights(model, version)
 
     def mark_replaced(self) -> None:
-        """Note that the upstream has started again, under another state.
+        """Mark this incarnation as replaced by a later one.
 
-        Requests that are still open there go on counting here, and nothing
-        that was learnt here is true of the new start.
+        Its open requests still count here; nothing recorded here applies to
+        the later incarnation, which has a state of its own.
         """
-        self._ended = True
+        self._replaced = True
 
     def is_usable(self, now_s: float) -> bool:
-        """Tell whether requests may be sent there now."""
-        if self._ended or self._upstream.leaving:
+        """Return whether requests may be sent there now."""
+        if self._replaced or self._upstream.leaving:
             return False
-        return now_s >= self._shunned_until_s
+        return now_s >= self._excluded_until_s
 
     def is_silent(self, now_s: float) -> bool:
-        """Tell whether requests wait there and nothing at all is heard.
+        """Return whether requests wait there and no data is received.
 
-        An upstream that lost its power answers nothing, and a request that
-        must not repeat is lost with it. Connections show that after 1.5 s;
-        by then each router has sent it many more. A busy upstream is heard:
-        its other answers go on. One that reads a long prompt alone gives
-        nothing until it has read it.
+        An upstream that lost power answers nothing, and a request that can't
+        be retried is lost with it. Connections show the loss after 1.5 s; by
+        then each router has sent it many more requests. A busy upstream
+        still sends data of its other answers. One that prefills a single
+        long prompt sends nothing until that is done.
         """
         if not self._waiting:
             return False
         oldest_s = min(
-            ticket.sent_s + ticket.prefill_ms / _MS for ticket in self._waiting
+            request.sent_s + request.prefill_ms / _MS
+            for request in self._waiting
         )
-        silent_s = now_s - max(oldest_s, self._heard_s)
-        if silent_s <= SILENT_S:
+        silent_s = now_s - max(oldest_s, self._last_data_s)
+        if silent_s <= MIN_SILENCE_S:
             return False
-        usual_s = self._pace.usual_silence_s(now_s) * SILENT_TIMES
-        return silent_s > min(usual_s, MOST_SILENT_S)
+        usual_s = self._silence_history.usual_silence_s(now_s)
+        return silent_s > min(usual_s * SILENCE_FACTOR, MAX_SILENCE_S)
 
     def since_last_data_s(self, now_s: float) -> float:
-        """Return the time since anything came from the upstream."""
-        return now_s - self._heard_s
+        """Return the time since data was last received from it."""
+        return now_s - self._last_data_s
 
     def data_received(self, now_s: float) -> None:
-        """Note that anything came from the upstream."""
-        self._heard_s = now_s
+        """Record that data was received from the upstream."""
+        self._last_data_s = now_s
 
     def weights(self, model: str) -> int | None:
         """Return the version of a model's weights there."""
         return self._weights.get(model)
 
     def update_weights(self, model: str, version: int) -> None:
-        """Take a version that the upstream told; versions only grow."""
+        """Apply a version that the upstream reported; versions only grow."""
         if version > self._weights.get(model, 0):
             self._weights[model] = version
 
     def update_load(self, load: UpstreamLoad, now_s: float) -> None:
-        """Take the load told with an answer."""
-        self._told = load
-        self._told_s = now_s
-        self._told_own = self._in_flight
+        """Apply the load reported with an answer."""
+        self._load = load
+        self._load_s = now_s
+        self._own_at_load = self._in_flight
 
     def lateness_ms(self, now_s: float) -> float:
-        """Return how much later than counted first events come of late.
+        """Return the recent delay of first events beyond the estimate.
 
-        What other routers sent there is only known once an answer tells of
-        it, and an engine under load reads more slowly. Both show in this
-        router's own first events. Fades within a second or two, so that an
-        engine that has nothing to answer is tried again.
+        The requests of other routers are known only once an answer reports
+        them, and an engine under load prefills more slowly. Both delay this
+        router's own first events. The value decays within a second or two,
+        so that an engine without requests is tried again.
         """
-        age_s = max(0.0, now_s - self._excess_s)
-        return self._excess_ms * exp(-age_s / EXCESS_FADES_S)
+        age_s = max(0.0, now_s - self._lateness_s)
+        return self._lateness_ms * exp(-age_s / LATENESS_DECAY_S)
 
     def record_lateness(self, late_ms: float, now_s: float) -> None:
-        """Take by how much a first event came later than counted."""
-        seen_ms = min(MOST_EXCESS_MS, max(0.0, late_ms))
-        before_ms = self.lateness_ms(now_s)
-        self._excess_ms = before_ms + (seen_ms - before_ms) * EXCESS_WEIGHT
-        self._excess_s = now_s
+        """Record the delay of a first event beyond the estimate."""
+        sample_ms = min(MAX_LATENESS_MS, max(0.0, late_ms))
+        previous_ms = self.lateness_ms(now_s)
+        change_ms = (sample_ms - previous_ms) * LATENESS_WEIGHT
+        self._lateness_ms = previous_ms + change_ms
+        self._lateness_s = now_s
 
     def other_requests(self, now_s: float) -> int:
-        """Return other routers' open requests there, by its last word."""
-        if self._told is None or now_s - self._told_s > TOLD_FRESH_S:
+        """Return the open requests of other routers by its last report."""
+        if self._load is None or now_s - self._load_s > LOAD_TTL_S:
             return 0
-        told = self._told.running + self._told.waiting
-        return max(0, told - self._told_own)
+        reported = self._load.running + self._load.waiting
+        return max(0, reported - self._own_at_load)
 
     def other_waiting(self, now_s: float) -> int:
-        """Return requests waiting there beyond this router's own."""
-        if self._told is None or now_s - self._told_s > TOLD_FRESH_S:
+        """Return the queued requests of other routers."""
+        if self._load is None or now_s - self._load_s > LOAD_TTL_S:
             return 0
-        return max(0, self._told.waiting - len(self._waiting))
+        return max(0, self._load.waiting - len(self._waiting))
 
     def open_request(
         self, prefill_ms: float, urgency: int, now_s: float
@@ -235,21 +239,21 @@
         """Count a request that is sent there."""
         self._in_flight += 1
         self._sent_s = now_s
-        ticket = OpenRequest(prefill_ms, urgency, now_s)
-        self._waiting.add(ticket)
-        return ticket
+        request = OpenRequest(prefill_ms, urgency, now_s)
+        self._waiting.add(request)
+        return request
 
-    def mark_started(self, ticket: OpenRequest) -> None:
-        """Count that a request got its first event or its answer."""
-        self._waiting.discard(ticket)
+    def mark_started(self, request: OpenRequest) -> None:
+        """Record that a request got its first event or its answer."""
+        self._waiting.discard(request)
 
     def close_request(self) -> None:
-        """Count that a request has ended."""
+        """Stop counting a request."""
         self._in_flight -= 1
 
     @property
     def copy_tokens(self) -> int:
-        """Return the memory of runs elsewhere that this router copies here."""
+        """Return the tokens of this router's runs whose copies are here."""
         return self._copy_tokens
 
     def open_copy(self, tokens: int) -> None:
@@ -257,52 +261,52 @@
         self._copy_tokens += tokens
 
     def close_copy(self, tokens: int) -> None:
-        """Count that a run of which a copy was kept here has ended."""
+        """Stop counting the copy of a run that has ended."""
         self._copy_tokens -= tokens
 
     def record_success(self) -> None:
-        """Forget failures: the upstream answers."""
+        """Reset the failure count: the upstream answers."""
         self._failures = 0
 
     def record_failure(self, now_s: float) -> None:
-        """Count a failure; several in a row shun the upstream."""
+        """Count a failure; several in a row exclude the upstream."""
         self._failures += 1
-        excess = self._failures - FAILURES_TO_SHUN
+        excess = self._failures - FAILURES_TO_EXCLUDE
         if excess >= 0:
-            pause_s = min(SHUN_CAP_S, SHUN_BASE_S * 2**excess)
+            pause_s = min(EXCLUDE_MAX_S, EXCLUDE_BASE_S * 2**excess)
             self.exclude_for(now_s, pause_s)
 
     def record_refused_connection(self, now_s: float) -> None:
-        """Count a failure and leave the upstream alone: it has ended.
+        """Count a failure and exclude the upstream: it has terminated.
 
-        Its entry goes only after its heartbeats have been missed for some
-        seconds. Where three failures were awaited, each router sent as many
-        requests to each crashed engine.
+        Its entry is removed only after its heartbeats have been missing for
+        some seconds. If three failures were awaited, each router would send
+        as many requests to each crashed engine.
         """
         self.record_failure(now_s)
-        self.exclude_for(now_s, SHUN_BASE_S)
+        self.exclude_for(now_s, EXCLUDE_BASE_S)
 
     def exclude_for(self, now_s: float, pause_s: float) -> None:
-        """Send nothing there for a while."""
+        """Send no requests there for a while."""
         until_s = now_s + pause_s
-        self._shunned_until_s = max(self._shunned_until_s, until_s)
+        self._excluded_until_s = max(self._excluded_until_s, until_s)
 
     def record_parts(
         self, cache_salt: str, prompt: Prompt, engine: Engine, now_s: float
     ) -> None:
-        """Note the parts of a prompt as held there."""
+        """Record the parts of a prompt as cached there."""
         for part in prompt.parts:
             key = (cache_salt, part.part_id)
-            self._held[key] = now_s
-            self._held.move_to_end(key)
-        most = max(1, engine.kv_tokens // _TOKENS_A_PART)
-        while len(self._held) > most:
-            self._held.popitem(last=False)
+            self._cached[key] = now_s
+            self._cached.move_to_end(key)
+        max_parts = max(1, engine.kv_tokens // _TOKENS_PER_PART)
+        while len(self._cached) > max_parts:
+            self._cached.popitem(last=False)
 
     def missing_tokens(
         self, cache_salt: str, prompt: Prompt, now_s: float
     ) -> int:
-        """Return the tokens of a prompt from its first part not held on."""
+        """Return the tokens of a prompt from its first uncached part on."""
         missing = prompt.tokens
         for part in prompt.parts:
             if not self.has_part(cache_salt, part.part_id, now_s):
@@ -311,11 +315,11 @@
         return max(0, missing)
 
     def has_part(self, cache_salt: str, part_id: str, now_s: float) -> bool:
-        """Tell whether a part was sent there lately."""
-        seen_s = self._held.get((cache_salt, part_id))
-        return seen_s is not None and now_s - seen_s <= HELD_S
+        """Return whether a part was sent there lately."""
+        sent_s = self._cached.get((cache_salt, part_id))
+        return sent_s is not None and now_s - sent_s <= PART_TTL_S
 
 
-# Parts of prompts here have some thousand tokens; only the number of parts
-# that are remembered follows from it.
-_TOKENS_A_PART = 2000
+# Parts of prompts have some thousand tokens. Only the number of remembered
+# parts depends on it.
+_TOKENS_PER_PART = 2000
