--- a/packages/daemon/src/lacewing_daemon/direct/_admission.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_admission.py
@@ -1,4 +1,4 @@
-"""Decide whether the configuration lets a request in, and as what."""
+"""Admit requests by the routing configuration."""
 
 from dataclasses import dataclass
 from random import Random
@@ -15,8 +15,8 @@
 
 # A router without a configuration has one within a few calls to the store.
 NOT_READY_RETRY_S = 0.1
-# The others reach the store more often than not, and a caller that returns
-# reaches another one. Half a second would make its answer late.
+# Other routers usually reach the store, and a caller that retries reaches
+# another router. Half a second would make its answer late.
 UNCONFIRMED_RETRY_S = 0.03
 
 
@@ -44,7 +44,7 @@
     if routing_config is None:
         return not_run(
             Reason.NOT_READY,
-            'no configuration was read yet; repeat the request',
+            'the routing configuration is not loaded yet; retry the request',
             NOT_READY_RETRY_S,
         )
     route = routing_config.route(request.host, request.path)
@@ -55,39 +55,43 @@
     team: Team | None = None
     if routing_config.teams is not None and not route.is_public:
         if not keys_confirmed:
-            # The key may have been taken away without this router knowing.
+            # The key may have been revoked without this router knowing.
             return not_run(
                 Reason.PLATFORM_UNAVAILABLE,
-                'keys could not be confirmed lately; repeat the request',
+                'API keys are not confirmed recently enough;'
+                ' retry the request',
                 UNCONFIRMED_RETRY_S,
             )
         team = routing_config.teams.get(request.key)
         if team is None:
-            return not_run(Reason.BAD_KEY, 'unknown key')
+            return not_run(Reason.BAD_KEY, 'unknown API key')
     if len(request.body) > routing_config.limits.max_body_bytes:
         return not_run(
             Reason.TOO_LARGE,
-            f'at most {routing_config.limits.max_body_bytes} bytes are taken,'
+            'the body may have at most'
+            f' {routing_config.limits.max_body_bytes} bytes,'
             f' got {len(request.body)}',
         )
     service = _draw_service(route, routing_config, random)
     if service is None:
-        return not_run(Reason.NO_WORKER, 'no service on this route', 1.0)
+        return not_run(
+            Reason.NO_WORKER, 'the route has no available service', 1.0
+        )
     return Admitted(route, service, team)
 
 
 def _draw_service(
-    route: Route, directory: RoutingConfig, random: Random
+    route: Route, routing_config: RoutingConfig, random: Random
 ) -> Service | None:
     names = []
     weights = []
     for share in route.shares:
-        if share.weight <= 0 or share.service not in directory.services:
+        if share.weight <= 0 or share.service not in routing_config.services:
             continue
         names.append(share.service)
         weights.append(share.weight)
     if not names:
         return None
     if len(names) == 1:
-        return directory.services[names[0]]
-    return directory.services[random.choices(names, weights)[0]]
+        return routing_config.services[names[0]]
+    return routing_config.services[random.choices(names, weights)[0]]
--- a/packages/daemon/src/lacewing_daemon/direct/_cache_salt.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cache_salt.py
@@ -1,4 +1,4 @@
-"""Name the walls between KV caches that must not be shared."""
+"""Compute the cache salt that separates KV caches."""
 
 from hashlib import blake2b
 
@@ -9,11 +9,11 @@
 
 
 def compute_cache_salt(team: Team | None, model: str, weights: int) -> str:
-    """Return the name under which a request's KV cache is kept.
+    """Return the salt under which a request's KV cache is stored.
 
-    Cached parts are found only under the same name. It holds the version of
-    the weights, so that nothing made by older ones is ever used, and the
-    team where that one shares with nobody.
+    Cached parts are found only under the same salt. It covers the version of
+    the weights, so that no cache of older weights is ever used, and the team
+    if that team is isolated.
     """
     owner = _SHARED
     if team is not None and team.isolated:
--- a/packages/daemon/src/lacewing_daemon/direct/_cached_parts.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cached_parts.py
@@ -1,4 +1,4 @@
-"""Know what of a prompt is kept where, and what reading the rest takes."""
+"""Estimate which parts of a prompt are cached and the prefill of the rest."""
 
 from lacewing_daemon.direct._call import Prompt
 from lacewing_daemon.direct._candidates import prompt_key
@@ -13,39 +13,42 @@
 
 
 class CachedParts:
-    """Judge by what this router has sent; nothing is asked."""
+    """Infer cached parts from what this router has sent, without queries."""
 
     def __init__(self, cluster_state: ClusterState) -> None:
-        self._knowledge = cluster_state
+        self._cluster_state = cluster_state
 
     def record_sent(
         self, target: Target, prompt: Prompt, engine: Engine, now_s: float
     ) -> None:
-        """Remember which parts an upstream holds from now on."""
+        """Record the parts that an upstream caches from now on."""
         if target.cache_salt is not None:
             target.state.record_parts(target.cache_salt, prompt, engine, now_s)
 
     def record_prefilled(
         self, target: Target, prompt: Prompt, now_s: float
     ) -> None:
-        """Remember that the KV store gets the parts that were read.
+        """Record that the KV store gets the prefilled parts.
 
-        Not when they are sent: until they are read there is nothing to
-        fetch, and prompts elsewhere would count on it.
+        Not recorded when the prompt is sent: until prefill is done there is
+        nothing to fetch, and prompts at other engines would rely on it.
         """
         if target.cache_salt is None or target.save_to is None:
             return
         for part in prompt.shared:
-            self._knowledge.mark_saved(target.cache_salt, part.part_id, now_s)
+            self._cluster_state.mark_saved(
+                target.cache_salt, part.part_id, now_s
+            )
 
     def kv_store_for(self, prompt: Prompt) -> KvStore | None:
-        """Return the store for a prompt, the same at all routers.
+        """Return the KV store for a prompt, the same at all routers.
 
-        Several stores share the prompts out by their longest shared part;
-        with all in one, its link and its memory would bound them all.
+        Prompts are distributed over several stores by their longest shared
+        part; with all of them in one store, its link and its memory would be
+        the bottleneck.
         """
-        directory = self._knowledge.routing_config
-        stores = () if directory is None else directory.kv_stores
+        routing_config = self._cluster_state.routing_config
+        stores = () if routing_config is None else routing_config.kv_stores
         if not stores or not prompt.shared:
             return None
         if len(stores) == 1:
@@ -65,18 +68,18 @@
         engine: Engine,
         kv_store: KvStore | None,
         now_s: float,
-        speed: float,
+        tokens_per_ms: float,
     ) -> float:
-        """Return how long an engine reads a prompt, fetching included."""
+        """Return how long prefill takes, including KV fetches."""
         missing = state.missing_tokens(cache_salt, prompt, now_s)
         fetched = 0
         if kv_store is not None:
             fetched = self._fetchable(cache_salt, prompt, missing, now_s)
-        read_ms = (missing - fetched) / speed
+        prefill_ms = (missing - fetched) / tokens_per_ms
         if fetched and kv_store is not None:
             link = min(engine.link_bytes_per_s, kv_store.link_bytes_per_s)
-            read_ms += fetched * engine.kv_token_bytes / link * _MS
-        return read_ms
+            prefill_ms += fetched * engine.kv_token_bytes / link * _MS
+        return prefill_ms
 
     def save_address(
         self,
@@ -85,22 +88,26 @@
         prompt: Prompt,
         now_s: float,
     ) -> str | None:
-        """Return where parts that are not kept yet are to be sent."""
+        """Return the KV store to save parts to, None if all are saved."""
         if kv_store is None:
             return None
         for part in prompt.shared:
-            if not self._knowledge.is_saved(cache_salt, part.part_id, now_s):
+            if not self._cluster_state.is_saved(
+                cache_salt, part.part_id, now_s
+            ):
                 return kv_store.address
         return None
 
     def _fetchable(
-        self, wall: str, prompt: Prompt, missing: int, now_s: float
+        self, cache_salt: str, prompt: Prompt, missing: int, now_s: float
     ) -> int:
-        """Return how many of the missing tokens the KV store holds."""
-        held = prompt.tokens - missing
+        """Return how many of the missing tokens the KV store has."""
+        cached = prompt.tokens - missing
         stored = 0
         for part in prompt.shared:
-            if not self._knowledge.is_saved(wall, part.part_id, now_s):
+            if not self._cluster_state.is_saved(
+                cache_salt, part.part_id, now_s
+            ):
                 break
             stored += part.tokens
-        return max(0, stored - held)
+        return max(0, stored - cached)
--- a/packages/daemon/src/lacewing_daemon/direct/_estimates.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_estimates.py
@@ -70,8 +70,11 @@
 
     def tokens_per_ms(self, now_s: float) -> float | None:
         """Return the estimate, None while there are too few samples."""
-        oldest_s = now_s - SAMPLE_TTL_S
-        samples = [one for one in self._samples if one.at_s >= oldest_s]
+        samples = [
+            sample
+            for sample in self._samples
+            if sample.at_s >= now_s - SAMPLE_TTL_S
+        ]
         if len(samples) < MIN_PREFILLS:
             return None
         slopes = _slopes(samples)
--- a/packages/daemon/src/lacewing_daemon/direct/_planner.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_planner.py
@@ -1,4 +1,4 @@
-"""Bring engines to the weights that operators named, under a lease."""
+"""Order engines to load released weights, under a lease."""
 
 import asyncio
 from random import Random
@@ -23,20 +23,20 @@
 from lacewing_daemon.lease import Lease
 from lacewing_daemon.lease import LeaseHeld
 
-# How often the holder looks for engines behind, and renews its lease.
+# How often the holder checks for outdated engines, and renews its lease.
 LOOK_S = 0.1
 RENEW_S = 0.7
-# How often the others look whether the lease has lapsed.
+# How often the other routers check whether the lease has lapsed.
 STANDBY_S = 0.8
-# The holder believes its lease for this long after it sent the renewal. The
-# orders it gives until then arrive within the timeout of a call to an
-# engine; its successor waits out both and the bound between two holders.
+# The holder considers its lease valid for this long after it sent the renewal.
+# Orders that it sends until then arrive within the timeout of a call to an
+# engine; its successor waits for both and for the bound between two holders.
 LEASE_S = 1.8
 LEASE_MARGIN_S = 0.4
 LEASE_NAME = 'weights'
-ORDER_WAY_S = 0.6
-# How long a stop waits for a call to the store that is under way.
-STOP_S = 1.2
+ORDER_TIMEOUT_S = 0.6
+# How long a stop waits for an open call to the store.
+STOP_TIMEOUT_S = 1.2
 
 _log = get_log(Part.PLACEMENT)
 
@@ -44,10 +44,10 @@
 class WeightsPlanner:
     """Order engines to load weights while this process holds the lease.
 
-    Two processes that order at once would load engines twice and, after a
-    late order, back to older weights. One holder at a time is ensured by
-    the lease; that its orders have ended, by waiting out the bound between
-    two holders after taking over.
+    Two processes that order at once would make engines load twice and, by a
+    late order, return to older weights. The lease ensures that there is one
+    holder at a time; a new holder waits for the bound between two holders,
+    so that the orders of the previous one have ended.
     """
 
     def __init__(
@@ -58,27 +58,27 @@
         holder: str,
     ) -> None:
         self._policy = cluster_state.policy
-        self._knowledge = cluster_state
+        self._cluster_state = cluster_state
         self._control = control
         self._lease = lease
         self._holder = holder
         self._holds_lease = False
         self._orders_from_s = 0.0
         self._renewed_s = float('-inf')
-        # Of each start of an engine, the time of each model's last order. An
-        # order to the start before must not count as one that is under way.
-        self._ordered: WeakKeyDictionary[UpstreamState, dict[str, float]] = (
+        # The time of each model's last order, by engine incarnation: an order
+        # to an earlier incarnation must not count as pending.
+        self._ordered_s: WeakKeyDictionary[UpstreamState, dict[str, float]] = (
             WeakKeyDictionary()
         )
         self._busy: set[UpstreamState] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._running: asyncio.Task[None] | None = None
+        self._planning: asyncio.Task[None] | None = None
         self._stopping = False
         self._backoff = Backoff(STANDBY_S / 2, STANDBY_S, Random())
 
     def start(self) -> None:
-        """Begin to plan."""
-        self._running = asyncio.create_task(self.run())
+        """Start the planning task."""
+        self._planning = asyncio.create_task(self.run())
 
     async def run(self) -> None:
         """Plan until stopped."""
@@ -87,38 +87,38 @@
             if not self._holds_lease:
                 await asyncio.sleep(STANDBY_S / 2 + self._backoff.next_s())
                 continue
-            await self._order()
+            await self._order_due()
             await asyncio.sleep(LOOK_S)
 
     async def stop(self) -> None:
-        """End orders under way and hand the lease over.
+        """Cancel pending orders and release the lease.
 
-        A write of the lease that is under way is waited for. Given up on, it
-        would leave the lease at a version that this process does not know:
-        the release would meet a conflict, and all others would wait for the
-        lease to lapse and then for orders that nobody gave.
+        A pending write of the lease is awaited. If it were abandoned, the
+        lease would be at a version that this process does not know: the
+        release would fail with a conflict, and all other routers would wait
+        for the lease to lapse and then for orders that nobody sent.
         """
         self._stopping = True
         for task in self._tasks:
             task.cancel()
-        if self._running is not None:
-            await asyncio.wait((self._running,), timeout=STOP_S)
-            self._running.cancel()
+        if self._planning is not None:
+            await asyncio.wait((self._planning,), timeout=STOP_TIMEOUT_S)
+            self._planning.cancel()
         await self._lease.release()
 
     def close(self) -> None:
-        """End at once, without a word to the others."""
+        """Stop at once, without releasing the lease."""
         self._stopping = True
-        if self._running is not None:
-            self._running.cancel()
+        if self._planning is not None:
+            self._planning.cancel()
 
     async def _keep_lease(self) -> None:
         now_s = boot_s()
         if self._lease.is_held and now_s - self._renewed_s < RENEW_S:
             return
         was_held = self._holds_lease and self._lease.is_held
-        answer = await self._lease.acquire()
-        self._holds_lease = isinstance(answer, LeaseHeld)
+        result = await self._lease.acquire()
+        self._holds_lease = isinstance(result, LeaseHeld)
         LEASE_HELD.set(int(self._holds_lease))
         if not self._holds_lease:
             if was_held:
@@ -127,7 +127,7 @@
         self._renewed_s = now_s
         if was_held:
             return
-        wait_s = self._knowledge.bounds.lease_s + ORDER_WAY_S
+        wait_s = self._cluster_state.bounds.lease_s + ORDER_TIMEOUT_S
         wait_s = max(0.0, wait_s - self._lease.other_acted_ago_s)
         self._orders_from_s = boot_s() + wait_s
         _log.info(
@@ -136,7 +136,7 @@
             orders_in_s=round(wait_s, 2),
         )
 
-    async def _order(self) -> None:
+    async def _order_due(self) -> None:
         if self._stopping or boot_s() < self._orders_from_s:
             return
         due = self._due()
@@ -147,47 +147,47 @@
         if not await self._lease.begin_acting():
             return
         self._renewed_s = boot_s()
-        for state, named in due:
+        for state, released in due:
             self._busy.add(state)
             task = asyncio.create_task(
-                self._load(state, named.model, named.version)
+                self._load(state, released.model, released.version)
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def _due(self) -> list[tuple[UpstreamState, ReleasedWeights]]:
-        """Return the engines to order now."""
+        """Return the engines to order now, with the weights to load."""
         due = []
-        for named in self._knowledge.released_weights:
-            engines = self._engines(named.model)
-            chosen = next_loads(engines, named.version, self._policy)
+        for released in self._cluster_state.released_weights:
+            engines = self._engines(released.model)
+            chosen = next_loads(engines, released.version, self._policy)
             for upstream_id in chosen:
-                state = self._knowledge.upstream(upstream_id)
+                state = self._cluster_state.upstream(upstream_id)
                 if state is None or state in self._busy:
                     continue
-                due.append((state, named))
+                due.append((state, released))
         return due
 
     def _engines(self, model: str) -> list[EngineWeights]:
         engines = []
-        age_s = self._knowledge.current_release(model).age_s
-        times = self._knowledge.load_schedule(model)
-        for upstream_id, state in self._knowledge.upstreams.items():
+        age_s = self._cluster_state.current_release(model).age_s
+        schedule = self._cluster_state.load_schedule(model)
+        for upstream_id, state in self._cluster_state.upstreams.items():
             version = state.weights(model)
-            if version is None or not self._knowledge.is_routed(
+            if version is None or not self._cluster_state.is_routed(
                 state.upstream
             ):
                 continue
-            ordered = self._ordered.get(state, {})
-            at_s = ordered.get(model, float('-inf'))
+            ordered = self._ordered_s.get(state, {})
+            ordered_s = ordered.get(model, float('-inf'))
             engines.append(
                 EngineWeights(
                     upstream_id,
                     version,
-                    boot_s() - at_s,
+                    boot_s() - ordered_s,
                     state.in_flight,
-                    times.get(upstream_id, 0.0) - age_s,
-                    self._knowledge.nearly_overdue_in_s(model, version),
+                    schedule.get(upstream_id, 0.0) - age_s,
+                    self._cluster_state.nearly_overdue_in_s(model, version),
                 )
             )
         return engines
@@ -196,10 +196,10 @@
         self, state: UpstreamState, model: str, version: int
     ) -> None:
         upstream = state.upstream
-        ordered = self._ordered.setdefault(state, {})
+        ordered = self._ordered_s.setdefault(state, {})
         ordered[model] = boot_s()
         try:
-            verdict = await self._order_one(state, upstream, model, version)
+            verdict = await self._send_order(state, upstream, model, version)
             LOAD_ORDERS.labels(verdict.value).inc()
             _log.info(
                 'Ordered weights.',
@@ -212,13 +212,14 @@
             if verdict is OrderVerdict.ALREADY_LOADED:
                 state.update_weights(model, version)
             if verdict in (OrderVerdict.BUSY, OrderVerdict.OTHER_INCARNATION):
-                # It carries out another order, or a new start is not known
-                # yet on one side; asked again at the next look.
+                # The engine carries out another order, or one side does not
+                # know the new incarnation yet; ordered again at the next
+                # check.
                 ordered[model] = float('-inf')
         finally:
             self._busy.discard(state)
 
-    async def _order_one(
+    async def _send_order(
         self,
         state: UpstreamState,
         upstream: Upstream,
@@ -228,13 +229,13 @@
         report = await self._control.report(upstream)
         if report is None:
             return OrderVerdict.UNKNOWN
-        if not self._knowledge.apply_report(state, report):
+        if not self._cluster_state.apply_report(state, report):
             return OrderVerdict.OTHER_INCARNATION
         if report.weights.get(model, 0) >= version:
             return OrderVerdict.ALREADY_LOADED
         if report.busy:
             return OrderVerdict.BUSY
-        # Looked at last: between this and the sending nothing is awaited.
+        # Checked last: nothing is awaited between this and the sending.
         if not self._lease.is_acting:
             return OrderVerdict.REFUSED
         self._lease.record_action()
--- a/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
@@ -62,8 +62,9 @@
             self.max_event_gap_s * EVENT_GAP_FRACTION,
             usual_silence_s * SILENCE_MARGIN,
         )
-        abandon_s = self.abandon_after_s * ABANDON_FRACTION
-        limit_s = min(wanted_s, max(min_s, abandon_s))
+        limit_s = min(
+            wanted_s, max(min_s, self.abandon_after_s * ABANDON_FRACTION)
+        )
         return limit_s if self.can_retry else limit_s * COPY_LIMIT_FACTOR
 
 
@@ -157,8 +158,9 @@
             usual_s = state.silence_history.usual_silence_s(now_s)
             due: list[Abort] = []
             for stream in list(streams.values()):
-                limit_s = stream.silence_limit_s(self._min_silence_s, usual_s)
-                if silent_s < limit_s:
+                if silent_s < stream.silence_limit_s(
+                    self._min_silence_s, usual_s
+                ):
                     continue
                 if self._can_move(stream, len(due) + moving, now_s):
                     due.append(stream.abort)
--- a/packages/daemon/src/lacewing_daemon/direct/_target.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_target.py
@@ -1,28 +1,29 @@
-"""Describe where one attempt goes and what is told to the upstream."""
+"""Describe the upstream of one attempt and what is sent to it."""
 
 from dataclasses import dataclass
 
 from lacewing_daemon.direct._admission import Admitted
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
-# Engines order waiting requests by urgency and take 5 if none is told.
-USUAL_URGENCY = 5
-LEAST_URGENT = 9
-# Ranks of routes within one rank of teams; there are three in use.
-RANKS_A_TEAM = 3
+# Engines order queued requests by urgency and assume 5 if none is sent.
+DEFAULT_URGENCY = 5
+LEAST_URGENCY = 9
+# Route priorities per team priority; three are in use.
+ROUTE_PRIORITIES_PER_TEAM = 3
 
 
 @dataclass(frozen=True)
 class Target:
-    """Hold the upstream of one attempt and what it is told.
-
-    ``first_event_ms``: when a first event is expected, of which ``wait_ms``
-    for what waits there, ``lateness_ms`` of these by how late others came.
-    ``released_version``: the version of the weights that was named last, 0 for
-    none; ``superseded_ms``: for how long a newer version than ``weights`` was
-    named. ``copy_to`` keeps a copy of the run's memory; ``is_continuation``:
-    the run is continued from such a copy. ``is_first``: the prompt's own part
-    was not sent there lately; ``tokens_per_ms``: how fast prompts are read.
+    """Hold the upstream of one attempt and the values sent with it.
+
+    ``first_event_ms``: time to the expected first event. ``wait_ms``: the
+    queueing time in it, including ``lateness_ms`` for the recent delay of
+    first events there. ``released_version``: the version of the weights
+    released last, 0 for none; ``superseded_ms``: time since a later version
+    than ``weights`` was released. ``copy_to``: the upstream that keeps a copy
+    of the run's KV cache; ``is_continuation``: the run continues from such a
+    copy. ``is_first``: the prompt's own part was not sent there lately;
+    ``tokens_per_ms``: prefill speed.
     """
 
     state: UpstreamState
@@ -31,7 +32,7 @@
     weights: int | None = None
     fetch_from: str | None = None
     save_to: str | None = None
-    urgency: int = USUAL_URGENCY
+    urgency: int = DEFAULT_URGENCY
     first_event_ms: float = 0.0
     wait_ms: float = 0.0
     lateness_ms: float = 0.0
@@ -44,9 +45,12 @@
 
 
 def urgency_of(admitted: Admitted) -> int:
-    """Return how urgent an engine is told that a request is, 0 the most.
+    """Return the urgency to send with a request, 0 for the most urgent.
 
-    The team's rank goes before the route's.
+    The team's priority takes precedence over the route's.
     """
     team = 0 if admitted.team is None else admitted.team.priority
-    return min(LEAST_URGENT, team * RANKS_A_TEAM + admitted.route.priority)
+    return min(
+        LEAST_URGENCY,
+        team * ROUTE_PRIORITIES_PER_TEAM + admitted.route.priority,
+    )
--- a/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_upstream_state.py
@@ -175,8 +175,8 @@
         silent_s = now_s - max(oldest_s, self._last_data_s)
         if silent_s <= MIN_SILENCE_S:
             return False
-        usual_s = self._silence_history.usual_silence_s(now_s)
-        return silent_s > min(usual_s * SILENCE_FACTOR, MAX_SILENCE_S)
+        limit_s = self._silence_history.usual_silence_s(now_s) * SILENCE_FACTOR
+        return silent_s > min(limit_s, MAX_SILENCE_S)
 
     def since_last_data_s(self, now_s: float) -> float:
         """Return the time since data was last received from it."""
@@ -216,8 +216,9 @@
         """Record the delay of a first event beyond the estimate."""
         sample_ms = min(MAX_LATENESS_MS, max(0.0, late_ms))
         previous_ms = self.lateness_ms(now_s)
-        change_ms = (sample_ms - previous_ms) * LATENESS_WEIGHT
-        self._lateness_ms = previous_ms + change_ms
+        self._lateness_ms = (
+            previous_ms + (sample_ms - previous_ms) * LATENESS_WEIGHT
+        )
         self._lateness_s = now_s
 
     def other_requests(self, now_s: float) -> int:
