--- a/features/direct_load.feature
+++ b/features/direct_load.feature
@@ -10,8 +10,8 @@
       # Sequence: more prompts arrive than engines can read; all are sent.
       # Cause: each waits behind the reading of those before.
       Given <engines> engines and <routers> routers that see only their own load
-      When prompts need <load> times what the engines can read for 20 seconds
-      Then at least <kept> percent of what fits is answered in time
+      When prompts need <load> times the prefill capacity of the engines for 20 seconds
+      Then at least <kept> percent of the capacity is answered in time
       And more than twice as much as when nothing is refused
 
       Examples:
@@ -26,9 +26,9 @@
       #   takes the engine that the others have filled for the idlest.
       # Cause: a first event that came late told nothing for the next one.
       Given <engines> engines and <routers> routers that see only their own load
-      When prompts need <load> times what the engines can read for 20 seconds
-      Then at least <kept> percent of what fits is answered in time
-      And at least <part> times as much as without learning
+      When prompts need <load> times the prefill capacity of the engines for 20 seconds
+      Then at least <kept> percent of the capacity is answered in time
+      And at least <part> times as much as without recorded lateness
 
       Examples:
         | engines | routers | load | kept | part |
@@ -37,9 +37,9 @@
         | 22      | 24      | 0.8  | 60   | 3.0  |
 
     Scenario: A refusal tells when room is to be expected
-      Given an engine that reads for 500 ms more
-      When a prompt of 60 ms wants its first event within 240 ms
-      Then it is refused with room after at least 300 ms
+      Given an engine with 500 ms of queued prefill
+      When a prompt with 60 ms of prefill needs its first event within 240 ms
+      Then it is refused with capacity after at least 300 ms
 
   Rule: Prompts go where they are read soonest
 
@@ -60,7 +60,7 @@
       # Sequence: long prompts wait at all engines; short urgent ones come.
       # Cause: all that waits was counted, though engines take the urgent
       #   ones first.
-      Given an engine at which 10 less urgent prompts of 40 ms wait
+      Given an engine at which 10 less urgent prompts of 40 ms are queued
       Then an urgent prompt expects to wait less than 40 ms
       And a less urgent one expects to wait 400 ms
 
@@ -69,9 +69,9 @@
       # Sequence: an upstream loses its power; connections show that after
       #   1.5 s; until then requests go on being sent there.
       # Cause: only a broken connection counted as a failure.
-      Given an upstream with a request that waits for 400 ms unheard
+      Given an upstream that has sent no data for 400 ms while a request waits
       Then it counts as silent
-      And it does not once anything is heard from it
+      And it does not once data is received from it
 
   Rule: Streams leave an engine that fell silent as a whole
 
@@ -80,10 +80,10 @@
       # Sequence: connections to it stay open and tell nothing at first.
       # Cause: each stream was judged alone, though an engine gives all its
       #   streams their events together.
-      Given an engine with <streams> <sort> streams that was heard <ms> ms ago
-      And another with streams that was heard <other> ms ago
-      When open streams are looked at
-      Then <cut> of them are broken off
+      Given an engine with <streams> <sort> streams that last sent data <ms> ms ago
+      And another with streams that last sent data <other> ms ago
+      When open streams are checked
+      Then <cut> of them are aborted
 
       Examples:
         | streams | sort    | ms  | other | cut |
@@ -98,17 +98,17 @@
       # Sequence: a router's link is full; nothing comes for 0.3 s from any
       #   upstream; it breaks all streams off.
       # Cause: its own silence was taken for that of every engine.
-      Given an engine with 4 plain streams that was heard 300 ms ago
-      And another with streams that was heard 280 ms ago
-      When open streams are looked at
-      Then 0 of them are broken off
+      Given an engine with 4 plain streams that last sent data 300 ms ago
+      And another with streams that last sent data 280 ms ago
+      When open streams are checked
+      Then 0 of them are aborted
 
     Scenario: A stream that has ended is not broken off
-      Given an engine with 4 plain streams that was heard 300 ms ago
-      And another with streams that was heard 10 ms ago
+      Given an engine with 4 plain streams that last sent data 300 ms ago
+      And another with streams that last sent data 10 ms ago
       When two of them end
-      And open streams are looked at
-      Then 0 of them are broken off
+      And open streams are checked
+      Then 0 of them are aborted
 
   Rule: Repeats stay within the fleet's budget
 
@@ -118,7 +118,7 @@
       # Cause: each router repeats as if it were alone.
       Given <routers> routers that share a budget of 0.2 and 54
       When each of them gets 100 requests in 10 seconds and all are refused
-      Then the fleet repeats no more than the budget allows
+      Then the fleet retries no more than the budget allows
 
       Examples:
         | routers |
@@ -132,33 +132,33 @@
       #   sent again and use the budget up; the copies are never asked.
       # Cause: a refused request counted as much as one that ran.
       Given 4 routers that share a budget of 0.2 and 54
-      When each of them has spent what it may on refused requests
-      Then it may still repeat some that began to run
+      When each of them has spent its budget for refused requests
+      Then it may still retry some that began to run
 
   Rule: New weights are loaded by a part of the engines at a time
 
     Scenario: Nine engines and a new version
       Given 9 engines with version 1
-      When version 2 is named
-      Then 3 of them are ordered, the idlest first
-      And no further one until one of them has it
+      When version 2 is released
+      Then 3 of them are ordered, the least busy first
+      And no other is ordered until one of them has loaded it
 
     Scenario: A version that was superseded is not loaded
       Given 9 engines with version 1
-      When version 4 is named
+      When version 4 is released
       Then every order is for version 4
 
     Scenario: Engines are ordered when their time has come
       Given 9 engines with version 1 of which 6 load later
-      When version 2 is named
-      Then 3 of them are ordered, the idlest first
+      When version 2 is released
+      Then 3 of them are ordered, the least busy first
 
     Scenario Outline: All routers agree when each engine loads
       Given <engines> engines with weights of version 1
-      When two routers that list them in other orders compute their times
-      Then both have the same times for all of them
+      When two routers with differently ordered lists compute the schedule
+      Then both have the same schedule for all of them
       And <early> engines load at once or a turn later, at most <part> a turn
-      And the others load when runs have had time to end
+      And the other engines load after runs have had time to end
 
       Examples:
         | engines | early | part |
@@ -170,8 +170,8 @@
     Scenario: Engines that were left alone load the next version first
       Given 5 engines with weights of version 1
       And of these 3 have loaded version 2
-      When version 3 is named early
-      Then the 2 with version 1 load before all others
+      When version 3 is released early
+      Then the 2 with version 1 load before all other engines
 
     Scenario Outline: A run that would outlast an engine's weights goes elsewhere
       # Symptom: a tenth of the tokens made are worth nothing.
@@ -201,8 +201,8 @@
       # Cause: nothing bounded the memory of copies.
       Given 5 engines in 4 zones and a router in each zone
       And each router knows of <routers> routers
-      When a router places runs that must not begin again
-      Then copies of <copied> of them are kept at each other engine at most
+      When a router places runs that must not be retried
+      Then each other engine keeps copies of at most <copied> of them
 
       Examples:
         | routers | copied |
@@ -219,8 +219,8 @@
       # Cause: the part was taken for kept when it was sent.
       Given 5 engines in 4 zones and a router in each zone
       When a router has sent a prompt that was not answered yet
-      Then elsewhere its parts must be read
-      And once it is answered they need only be fetched
+      Then other engines must prefill its parts
+      And once it is answered they only need to fetch them
 
   Rule: Logs stay bounded and never hold anything up
 
--- a/features/direct_pace.feature
+++ b/features/direct_pace.feature
@@ -15,8 +15,8 @@
       #   the router hears the other engine meanwhile.
       # Cause: the longest silence of an engine that lives was measured at one
       #   speed of reading.
-      Given routes on which a stream may pause for 500 ms and run twice
-      And engines that give an event every 0.4 seconds
+      Given routes that allow event gaps of 500 ms and streams that may run twice
+      And engines that send an event every 0.4 seconds
       When 8 callers ask models at once
       Then every caller gets all events once and in order
       And no request ran at two engines
@@ -27,8 +27,8 @@
       # Sequence: a stream may run once; its engine gives no event for longer
       #   than any limit, and goes on.
       # Cause: a guess ended what nothing else would have ended.
-      Given routes on which a stream may pause for 250 ms and run once
-      And engines that give an event every 1.7 seconds
+      Given routes that allow event gaps of 250 ms and streams that may run once
+      And engines that send an event every 1.7 seconds
       When 6 callers ask models at once
       Then every caller gets all events once and in order
 
@@ -37,12 +37,12 @@
       # Sequence: an engine breaks a stream off; the one that goes on with it
       #   gives no event for longer than any limit.
       # Cause: as above.
-      Given routes on which a stream may pause for 250 ms and run twice
-      And engines that give an event every 1.7 seconds
+      Given routes that allow event gaps of 250 ms and streams that may run twice
+      And engines that send an event every 1.7 seconds
       And the next upstream cut
       When 1 callers ask models at once
       Then every caller gets all events once and in order
-      And the stream went on once
+      And the stream was continued once
 
   Rule: An engine that is lost is noticed at each pace
 
@@ -51,8 +51,8 @@
       # Sequence: an engine loses its power after the first events; its
       #   connections stay open.
       # Cause: a limit that follows the pace of the engines has no bound.
-      Given routes on which a stream may pause for <pause> ms and run twice
-      And engines that give an event every <beat> seconds
+      Given routes that allow event gaps of <pause> ms and streams that may run twice
+      And engines that send an event every <beat> seconds
       And an engine that stalls
       When 8 callers ask models at once
       Then every caller gets all events once and in order
--- a/features/direct_weights.feature
+++ b/features/direct_weights.feature
@@ -9,8 +9,8 @@
       # Cause: the time was counted from the newest naming alone, so that
       #   every naming began it anew.
       Given a router with 3 engines that have version 1
-      When weights are named after <named> s and none are loaded
-      Then no engine is ever asked to begin on weights superseded 8 s ago
+      When weights are released after <named> s and none are loaded
+      Then no engine is ever asked to begin a run on weights superseded 8 s ago
       And each is used until three quarters of that time
 
       Examples: series
@@ -27,9 +27,9 @@
       # Sequence: a new version is named again and again.
       # Cause: each naming began the time for new weights anew.
       Given a router with 3 engines that have version 1
-      When 900 versions are named within 30 s and none are loaded
-      Then no engine is ever asked to begin on weights superseded 8 s ago
-      And the router remembers few namings
+      When 900 versions are released within 30 s and none are loaded
+      Then no engine is ever asked to begin a run on weights superseded 8 s ago
+      And the router stores few releases
 
     Scenario: Weights between those overdue and the newest are still used
       # Symptom: requests are refused though engines have allowed weights.
@@ -37,9 +37,9 @@
       #   for the first is used up.
       # Cause: whatever is not the newest was taken for overdue.
       Given a router with 3 engines that have version 1
-      When weights are named after 0, 4 s and an engine has loaded version 2
-      Then 7 s after the first naming that engine is asked for version 2
-      And the others are asked for version 2
+      When weights are released after 0, 4 s and an engine has loaded version 2
+      Then 7 s after the first release that engine is asked for version 2
+      And the other engines are asked for version 2
 
     Scenario: Older weights count less from the first naming that they lack
       # Symptom: requests begin on weights superseded 1.5 s ago though
@@ -47,7 +47,7 @@
       # Sequence: weights are named; 0.6 s later newer ones.
       # Cause: the time was counted from the newest naming alone.
       Given a router with 2 engines that have version 1
-      When weights are named after 0, 0.6 s and a busy engine has the last
+      When weights are released after 0, 0.6 s and a busy engine has the last
       Then until 1.2 s the idle engine is chosen and then the busier one
 
     Scenario: An engine known to have overdue weights is asked last
@@ -56,8 +56,8 @@
       #   older ones are overdue; the first is a little busier.
       # Cause: an engine that will refuse was taken for one that just loaded.
       Given a router with 2 engines that have version 1
-      When weights are named, one engine loads them and has 60 ms to read
-      Then once older ones are overdue that engine is chosen
+      When weights are released, one engine loads them and has 60 ms of queued prefill
+      Then once older weights are overdue that engine is chosen
 
   Rule: Versions of which a router did not hear at once have no more time
 
@@ -67,7 +67,7 @@
       #   the newest of them.
       # Cause: it counted the time for new weights from when it found them.
       Given a router with 3 engines that have version 1
-      When version <version> is found that was named within the last <gap> s
+      When version <version> is found that was released within the last <gap> s
       Then engines with version 1 are used for <used> s more
 
       Examples: gaps
@@ -111,7 +111,7 @@
       #   next answer, or a list, has it.
       # Cause: a change found so was taken for one just made.
       Given a router that reads a list and <then>
-      When it is told of a change after 0.3 s
+      When a change is reported to it after 0.3 s
       Then the change may have been made <ago> s before
 
       Examples: calls
@@ -130,7 +130,7 @@
       # Cause: only the late answer's own changes were taken for made before;
       #   what followed it was known to the store as long.
       Given a router that waits 0.2 s for an answer that comes after 1.0 s
-      When the store tells of another change at once
+      When the store reports another change at once
       Then the other change may have been made 1.0 s before
 
     Scenario: An upstream's entry tells of weights
@@ -141,7 +141,7 @@
       Given a store with a configuration
       And engines "m-1" and "m-2"
       When engine "m-2" has version 3 and a router starts without the weights
-      Then it knows that version 3 is named
+      Then it knows that version 3 is released
       And it soon asks no engine for version 1
 
   Rule: Engines get the weights in time
@@ -152,13 +152,13 @@
       #   each deals the turns anew, and its turn is a late one.
       # Cause: turns were counted from the newest naming alone.
       Given 6 engines with version 1 of which 6 load later
-      And the busiest has lacked a version for nearly all its time
-      When version 4 is named
-      Then just that one is ordered
+      And the weights of the busiest are nearly overdue
+      When version 4 is released
+      Then only that one is ordered
 
     Scenario Outline: Versions named one after the other reach all engines
       Given <engines> engines that carry out <part> of 10 orders at once
-      When versions are named every <every> s for 40 s
+      When versions are released every <every> s for 40 s
       Then at most one in three is ordered at a time
       And no engine that is nearly overdue is passed over for another
       And none lacks a version for over <worst> s
@@ -190,5 +190,5 @@
       Given a store with a configuration
       And engines "m-1" and "m-2"
       And a direct router
-      When engines take no orders and weights are named 4.4 s apart
-      Then from 8 s after the first naming on no prompt begins on version 1
+      When engines accept no orders and weights are released 4.4 s apart
+      Then from 8 s after the first release on no prompt begins on version 1
--- a/features/steps/direct_load_steps.py
+++ b/features/steps/direct_load_steps.py
@@ -149,7 +149,10 @@
     context.sizes = (engines, routers)
 
 
-@when('prompts need {load:f} times what the engines can read for 20 seconds')
+@when(
+    'prompts need {load:f} times the prefill capacity of the engines'
+    ' for 20 seconds'
+)
 def step_overload(context: Context, load: float) -> None:
     """Replay the load with and without refusing."""
     engines, routers = context.sizes
@@ -158,18 +161,18 @@
     context.fcfs = replay(engines, routers, load, refusing=False)
 
 
-@then('at least {part:f} times as much as without learning')
-def step_learning(context: Context, part: float) -> None:
+@then('at least {factor:f} times as much as without recorded lateness')
+def step_learning(context: Context, factor: float) -> None:
     """Replay it by own load alone."""
     engines, routers = context.sizes
     alone = replay(engines, routers, context.load, True, learning=False)
-    assert context.kept >= part * alone, (context.kept, alone)
+    assert context.kept >= factor * alone, (context.kept, alone)
 
 
-@then('at least {kept:d} percent of what fits is answered in time')
-def step_kept(context: Context, kept: int) -> None:
+@then('at least {percent:d} percent of the capacity is answered in time')
+def step_kept(context: Context, percent: int) -> None:
     """Compare with engines that read all the time."""
-    assert context.kept * 100 >= kept, context.kept
+    assert context.kept * 100 >= percent, context.kept
 
 
 @then('more than twice as much as when nothing is refused')
@@ -178,24 +181,27 @@
     assert context.kept > 2 * context.fcfs, (context.kept, context.fcfs)
 
 
-@given('an engine that reads for {busy_ms:d} ms more')
+@given('an engine with {busy_ms:d} ms of queued prefill')
 def step_busy(context: Context, busy_ms: int) -> None:
     """Set one busy engine."""
     context.busy_ms = float(busy_ms)
 
 
-@when('a prompt of {read_ms:d} ms wants its first event within {left_ms:d} ms')
-def step_wants(context: Context, read_ms: int, left_ms: int) -> None:
+@when(
+    'a prompt with {prefill_ms:d} ms of prefill needs its first event'
+    ' within {left_ms:d} ms'
+)
+def step_wants(context: Context, prefill_ms: int, left_ms: int) -> None:
     """Place it."""
-    view = EngineView('a', True, context.busy_ms, float(read_ms), 0, 0)
+    view = EngineView('a', True, context.busy_ms, float(prefill_ms), 0, 0)
     context.placed = place_prompt([view], float(left_ms), LoadPolicy())
 
 
-@then('it is refused with room after at least {room_ms:d} ms')
-def step_room(context: Context, room_ms: int) -> None:
+@then('it is refused with capacity after at least {retry_after_ms:d} ms')
+def step_room(context: Context, retry_after_ms: int) -> None:
     """Check the refusal."""
     assert isinstance(context.placed, NoCapacity), context.placed
-    assert context.placed.retry_after_ms >= room_ms, context.placed
+    assert context.placed.retry_after_ms >= retry_after_ms, context.placed
 
 
 @given('an engine in the own zone that is free after {own:d} ms')
@@ -229,19 +235,20 @@
 
 
 @given(
-    'an engine at which {count:d} less urgent prompts of {read_ms:d} ms wait'
+    'an engine at which {count:d} less urgent prompts of'
+    ' {prefill_ms:d} ms are queued'
 )
-def step_waiting(context: Context, count: int, read_ms: int) -> None:
+def step_waiting(context: Context, count: int, prefill_ms: int) -> None:
     """Count the prompts as sent."""
     context.state = _state()
     for _ in range(count):
-        context.state.open_request(float(read_ms), 5, 0.0)
+        context.state.open_request(float(prefill_ms), 5, 0.0)
 
 
-@then('an urgent prompt expects to wait less than {most:d} ms')
-def step_urgent(context: Context, most: int) -> None:
+@then('an urgent prompt expects to wait less than {max_ms:d} ms')
+def step_urgent(context: Context, max_ms: int) -> None:
     """Check what goes before it."""
-    assert context.state.queued_prefill_ms(3, SPEED) < most
+    assert context.state.queued_prefill_ms(3, SPEED) < max_ms
 
 
 @then('a less urgent one expects to wait {wait_ms:d} ms')
@@ -250,7 +257,10 @@
     assert context.state.queued_prefill_ms(5, SPEED) == wait_ms
 
 
-@given('an upstream with a request that waits for {wait_ms:d} ms unheard')
+@given(
+    'an upstream that has sent no data for {wait_ms:d} ms while a'
+    ' request waits'
+)
 def step_unheard(context: Context, wait_ms: int) -> None:
     """Send a request and let the time pass."""
     context.state = _state()
@@ -264,7 +274,7 @@
     assert context.state.is_silent(context.now_s)
 
 
-@then('it does not once anything is heard from it')
+@then('it does not once data is received from it')
 def step_heard(context: Context) -> None:
     """Hear something and check again."""
     context.state.data_received(context.now_s)
@@ -290,14 +300,14 @@
         context.engines[number] = replace(engine, due_in_s=3.0)
 
 
-@when('version {version:d} is named')
+@when('version {version:d} is released')
 def step_version(context: Context, version: int) -> None:
     """Ask which engines to order."""
     context.version = version
     context.chosen = next_loads(context.engines, version, LoadPolicy())
 
 
-@then('{count:d} of them are ordered, the idlest first')
+@then('{count:d} of them are ordered, the least busy first')
 def step_idlest(context: Context, count: int) -> None:
     """Check the choice."""
     expected = []
@@ -306,7 +316,7 @@
     assert list(context.chosen) == expected[:count], context.chosen
 
 
-@then('no further one until one of them has it')
+@then('no other is ordered until one of them has loaded it')
 def step_no_further(context: Context) -> None:
     """Ask again while the first ones load, then when one is done."""
     under_way = []
--- a/features/steps/direct_weights_steps.py
+++ b/features/steps/direct_weights_steps.py
@@ -124,7 +124,7 @@
     context.asked = []
 
 
-@when('weights are named after {times} s and none are loaded')
+@when('weights are released after {times} s and none are loaded')
 def step_series(context: Context, times: str) -> None:
     """Name versions at these times; place prompts in between."""
     _play(context, [float(text) for text in times.split(',')])
@@ -151,7 +151,7 @@
             )
 
 
-@then('no engine is ever asked to begin on weights superseded 8 s ago')
+@then('no engine is ever asked to begin a run on weights superseded 8 s ago')
 def step_never(context: Context) -> None:
     """Look at each version that was asked for."""
     assert context.asked
@@ -168,13 +168,15 @@
             assert asked[1] == 1, asked
 
 
-@when('{count:d} versions are named within {span_s:d} s and none are loaded')
+@when(
+    '{count:d} versions are released within {span_s:d} s and none are loaded'
+)
 def step_many(context: Context, count: int, span_s: int) -> None:
     """Name versions without a pause."""
     _play(context, [number * span_s / count for number in range(count)])
 
 
-@then('the router remembers few namings')
+@then('the router stores few releases')
 def step_few(context: Context) -> None:
     """Count those that it keeps."""
     kept = len(context.weights_router.knowledge.releases(MODEL))
@@ -183,8 +185,8 @@
 
 
 @when(
-    'weights are named after 0, {second:d} s and an engine has loaded'
-    ' version {version:d}'
+    'weights are released after 0, {second:d} s and an engine has'
+    ' loaded version {version:d}'
 )
 def step_one_loads(context: Context, second: int, version: int) -> None:
     """Name two versions; an engine has the first."""
@@ -198,8 +200,8 @@
 
 
 @then(
-    '{after_s:d} s after the first naming that engine is asked for version'
-    ' {version:d}'
+    '{after_s:d} s after the first release that engine is asked for'
+    ' version {version:d}'
 )
 def step_ahead(context: Context, after_s: int, version: int) -> None:
     """Look at what it is asked for."""
@@ -208,7 +210,7 @@
     assert router.asked(context.ahead) == version
 
 
-@then('the others are asked for version {version:d}')
+@then('the other engines are asked for version {version:d}')
 def step_others(context: Context, version: int) -> None:
     """Look at the engines that have the oldest weights."""
     router = context.weights_router
@@ -216,7 +218,9 @@
         assert router.asked(name) == version, name
 
 
-@when('weights are named after 0, {second:f} s and a busy engine has the last')
+@when(
+    'weights are released after 0, {second:f} s and a busy engine has the last'
+)
 def step_busier(context: Context, second: float) -> None:
     """Name two versions; one engine has the newer and a prompt to read."""
     router = context.weights_router
@@ -240,9 +244,10 @@
 
 
 @when(
-    'weights are named, one engine loads them and has {read_ms:d} ms to read'
+    'weights are released, one engine loads them and has'
+    ' {prefill_ms:d} ms of queued prefill'
 )
-def step_one_has(context: Context, read_ms: int) -> None:
+def step_one_has(context: Context, prefill_ms: int) -> None:
     """Name version 2."""
     router = context.weights_router
     context.begin_s = router.clock.now_s
@@ -250,10 +255,10 @@
     context.busier = router.place().state.upstream.upstream_id
     router.loaded(context.busier, 2)
     state = router.knowledge.upstream(context.busier)
-    state.open_request(read_ms, 0, router.clock.now_s)
+    state.open_request(prefill_ms, 0, router.clock.now_s)
 
 
-@then('once older ones are overdue that engine is chosen')
+@then('once older weights are overdue that engine is chosen')
 def step_overdue_last(context: Context) -> None:
     """Place a prompt right after that."""
     limit_s = context.weights_router.knowledge.old_weights_limit_s
@@ -270,7 +275,7 @@
     return upstream_id
 
 
-@when('engines take no orders and weights are named 4.4 s apart')
+@when('engines accept no orders and weights are released 4.4 s apart')
 def step_lag(context: Context) -> None:
     """Name version 2, then 3; a prompt begins on version 1 meanwhile."""
     bench = direct_bench(context)
@@ -289,7 +294,7 @@
     bench.on_loop(lambda: bench.store.put('versions', MODEL, named))
 
 
-@then('from 8 s after the first naming on no prompt begins on version 1')
+@then('from 8 s after the first release on no prompt begins on version 1')
 def step_none_begins(context: Context) -> None:
     """Send prompts until the second version is overdue too."""
     bench = direct_bench(context)
--- a/features/steps/estimates_steps.py
+++ b/features/steps/estimates_steps.py
@@ -22,8 +22,8 @@
 
 
 @given(
-    'engines that read {speed:d} tokens a ms and take {step_ms:d} ms for a'
-    ' step'
+    'engines with a prefill speed of {speed:d} tokens per ms and a'
+    ' step time of {step_ms:d} ms'
 )
 def step_engines(context: Context, speed: int, step_ms: int) -> None:
     """Begin without knowledge."""
@@ -50,8 +50,8 @@
 
 
 @when(
-    'a router sees {count:d} first events while {load:f} of them wait for'
-    ' others'
+    'a router receives {count:d} first events, a fraction of {load:f}'
+    ' queued behind other prompts'
 )
 def step_sees(context: Context, count: int, load: float) -> None:
     """Let a part wait for prompts that the router doesn't know of."""
@@ -62,7 +62,7 @@
         _see(context, _tokens(context), waits_ms)
 
 
-@when('a router sees {count:d} first events, {late:d} of them 3 s late')
+@when('a router receives {count:d} first events, {late:d} of them 3 s late')
 def step_late(context: Context, count: int, late: int) -> None:
     """Spread the late ones."""
     for number in range(count):
@@ -70,20 +70,20 @@
         _see(context, _tokens(context), LATE_MS if is_late else 0.0)
 
 
-@when('a router sees {count:d} first events of prompts of 2,000 tokens')
+@when('a router receives {count:d} first events of prompts of 2,000 tokens')
 def step_alike(context: Context, count: int) -> None:
     """See the same length only."""
     for _ in range(count):
         _see(context, 2000, 0.0)
 
 
-@when('what was seen grows {span_s:d} s old')
+@when('the samples are {span_s:d} s old')
 def step_pass(context: Context, span_s: int) -> None:
     """Let time pass."""
     context.now_s += span_s
 
 
-@when('the engines read {speed:d} tokens a ms from now on')
+@when('the prefill speed changes to {speed:d} tokens per ms')
 def step_changed(context: Context, speed: int) -> None:
     """Change the engines."""
     context.speed = float(speed)
@@ -101,19 +101,21 @@
     assert off <= part / 100, speed
 
 
-@then('the speed is at most {most:d} tokens a ms')
-def step_most(context: Context, most: int) -> None:
+@then('the speed is at most {max_speed:d} tokens per ms')
+def step_most(context: Context, max_speed: int) -> None:
     """Compare with the bound."""
-    assert _policy(context).prefill_tokens_per_ms <= most
+    assert _policy(context).prefill_tokens_per_ms <= max_speed
 
 
-@then('the configured speed holds')
+@then('the configured speed applies')
 def step_configured(context: Context) -> None:
     """Compare."""
     assert _policy(context) == CONFIGURED, _policy(context)
 
 
-@given('runs of {tokens:d} tokens on average that take {step_ms:f} ms a token')
+@given(
+    'runs of {tokens:d} tokens on average that take {step_ms:f} ms per token'
+)
 def step_runs(context: Context, tokens: int, step_ms: float) -> None:
     """Begin without knowledge."""
     step_engines(context, 41, 9)
@@ -121,7 +123,9 @@
     context.token_ms = step_ms
 
 
-@when('{count:d} of them end, their lengths guessed half to twice as long')
+@when(
+    '{count:d} of them end, their lengths estimated as half to twice as long'
+)
 def step_end(context: Context, count: int) -> None:
     """Guess around the true length, right at the median."""
     for _ in range(count):
@@ -163,8 +167,8 @@
 
 
 @when(
-    'a router sees {count:d} first events of two routes, half of their shared'
-    ' parts kept'
+    'a router receives {count:d} first events of two routes, half of'
+    ' their shared parts cached'
 )
 def step_routes(context: Context, count: int) -> None:
     """Let one route have long parts of both kinds, the other short ones."""
@@ -177,7 +181,7 @@
         _see(context, scale * _tokens(context) // 3, extra_ms, shared)
 
 
-@given('a router that has seen engines read {speed:d} tokens a ms')
+@given('a router with samples of engines that prefill {speed:d} tokens per ms')
 def step_router(context: Context, speed: int) -> None:
     """Fill the estimates of one service."""
     step_engines(context, speed, 9)
@@ -186,14 +190,14 @@
     step_sees(context, 40, 0.0)
 
 
-@then('it decides by about {speed:d} tokens a ms for that service')
+@then('it assumes about {speed:d} tokens per ms for that service')
 def step_decides(context: Context, speed: int) -> None:
     """Look at the policy."""
     seen = context.knowledge.policy_for('models').prefill_tokens_per_ms
     assert abs(seen / speed - 1) < 0.1, seen
 
 
-@then('by the configured figures for another service')
+@then('the configured values for another service')
 def step_other(context: Context) -> None:
     """Look at the policy."""
     assert context.knowledge.policy_for('others') == CONFIGURED
--- a/features/steps/kept_parts_steps.py
+++ b/features/steps/kept_parts_steps.py
@@ -99,7 +99,7 @@
     )
 
 
-@then('elsewhere its parts must be read')
+@then('other engines must prefill its parts')
 def step_read(context: Context) -> None:
     """Place a prompt with the same parts where the first one is not."""
     router = context.routers[0]
@@ -108,7 +108,7 @@
     assert elsewhere.prefill_ms > SHARED_TOKENS / TOKENS_PER_MS, elsewhere
 
 
-@then('once it is answered they need only be fetched')
+@then('once it is answered they only need to fetch them')
 def step_fetched(context: Context) -> None:
     """Note the first event and place it again."""
     router = context.routers[0]
@@ -127,7 +127,7 @@
         router.knowledge.set_router_count(count)
 
 
-@when('a router places runs that must not begin again')
+@when('a router places runs that must not be retried')
 def step_runs(context: Context) -> None:
     """Place and send many short prompts."""
     router = context.routers[0]
@@ -146,7 +146,7 @@
         context.copies[name] = context.copies.get(name, 0) + 1
 
 
-@then('copies of {count:d} of them are kept at each other engine at most')
+@then('each other engine keeps copies of at most {count:d} of them')
 def step_copied(context: Context, count: int) -> None:
     """Check the most, and that it is reached."""
     assert max(context.copies.values(), default=0) == count, context.copies
--- a/features/steps/load_times_steps.py
+++ b/features/steps/load_times_steps.py
@@ -27,7 +27,7 @@
         context.weights[engine] = 2
 
 
-@when('two routers that list them in other orders compute their times')
+@when('two routers with differently ordered lists compute the schedule')
 def step_two_routers(context: Context) -> None:
     """Compute the times twice."""
     turned = dict(reversed(context.weights.items()))
@@ -35,13 +35,13 @@
     context.others_times = load_schedule(MODEL, 2, turned, POLICY)
 
 
-@when('version 3 is named early')
+@when('version 3 is released early')
 def step_early(context: Context) -> None:
     """Compute the times of the next version."""
     context.times = load_schedule(MODEL, 3, context.weights, POLICY)
 
 
-@then('both have the same times for all of them')
+@then('both have the same schedule for all of them')
 def step_same(context: Context) -> None:
     """Compare the two routers."""
     assert context.times == context.others_times
@@ -49,18 +49,19 @@
 
 
 @then(
-    '{early:d} engines load at once or a turn later, at most {part:d} a turn'
+    '{early:d} engines load at once or a turn later, at most'
+    ' {per_turn:d} a turn'
 )
-def step_early_ones(context: Context, early: int, part: int) -> None:
+def step_early_ones(context: Context, early: int, per_turn: int) -> None:
     """Count the early engines, and those of each moment."""
     limit_s = POLICY.load_late_ms / 1000
     times = list(context.times.values())
     assert sum(at_s < limit_s for at_s in times) == early, times
     for at_s in times:
-        assert times.count(at_s) <= part, times
+        assert times.count(at_s) <= per_turn, times
 
 
-@then('the others load when runs have had time to end')
+@then('the other engines load after runs have had time to end')
 def step_late_ones(context: Context) -> None:
     """Check that no engine loads in between."""
     between_s = POLICY.load_turns * POLICY.load_turn_ms / 1000
@@ -69,7 +70,7 @@
         assert at_s < between_s or at_s >= late_s, context.times
 
 
-@then('the {count:d} with version 1 load before all others')
+@then('the {count:d} with version 1 load before all other engines')
 def step_oldest(context: Context, count: int) -> None:
     """Check that the oldest weights go first."""
     oldest = []
--- a/features/steps/pace_steps.py
+++ b/features/steps/pace_steps.py
@@ -23,12 +23,15 @@
 APART_S = 0.03
 
 
-@given('routes on which a stream may pause for {pause_ms:d} ms and run {runs}')
-def step_routes(context: Context, pause_ms: int, runs: str) -> None:
+@given(
+    'routes that allow event gaps of {gap_ms:d} ms and streams that'
+    ' may run {runs}'
+)
+def step_routes(context: Context, gap_ms: int, runs: str) -> None:
     """Configure the streams and wait until that is in force."""
     bench = direct_bench(context)
     told = {
-        'TargetGapMs': pause_ms,
+        'TargetGapMs': gap_ms,
         'TimeoutMs': LIMIT_MS,
         'MaxAttempts': RUNS[runs],
     }
@@ -45,7 +48,7 @@
     )
 
 
-@given('engines that give an event every {seconds:f} seconds')
+@given('engines that send an event every {seconds:f} seconds')
 def step_beat(context: Context, seconds: float) -> None:
     """Let each engine give its events together, one engine after another."""
     upstreams = list(direct_bench(context).upstreams.values())
@@ -116,15 +119,15 @@
     assert len(ran) == len(set(ran)), sorted(ran)
 
 
-@then('the stream went on once')
+@then('the stream was continued once')
 def step_went_on(context: Context) -> None:
     """Compare the runs of the only request."""
     ran = direct_bench(context).ran()
     assert ran == ['paced-0'] * 2, ran
 
 
-@then('each of them within {most:f} seconds')
-def step_within(context: Context, most: float) -> None:
+@then('each of them within {max_s:f} seconds')
+def step_within(context: Context, max_s: float) -> None:
     """Check how long the answers took."""
     took = [seconds for _, seconds in context.paced]
-    assert max(took) < most, took
+    assert max(took) < max_s, took
--- a/features/steps/retry_budget_steps.py
+++ b/features/steps/retry_budget_steps.py
@@ -31,7 +31,7 @@
                 context.repeats += 1
 
 
-@when('each of them has spent what it may on refused requests')
+@when('each of them has spent its budget for refused requests')
 def step_spent(context: Context) -> None:
     """Spend all that is not kept for runs."""
     for budget in context.budgets:
@@ -41,7 +41,7 @@
             pass
 
 
-@then('it may still repeat some that began to run')
+@then('it may still retry some that began to run')
 def step_some_left(context: Context) -> None:
     """Spend what is kept for runs."""
     for budget in context.budgets:
@@ -51,7 +51,7 @@
         assert left >= 5, left
 
 
-@then('the fleet repeats no more than the budget allows')
+@then('the fleet retries no more than the budget allows')
 def step_within(context: Context) -> None:
     """Compare with the fleet's budget."""
     allowed = context.ratio * context.requests + context.slack
--- a/features/steps/silence_pace_steps.py
+++ b/features/steps/silence_pace_steps.py
@@ -29,33 +29,33 @@
 
 
 @given(
-    'a route that allows pauses of {pause_ms:d} ms and callers that leave'
-    ' after {leaves_s:d} s'
+    'a route that allows event gaps of {gap_ms:d} ms and callers that'
+    ' abandon streams after {abandon_s:d} s'
 )
-def step_route(context: Context, pause_ms: int, leaves_s: int) -> None:
+def step_route(context: Context, gap_ms: int, abandon_s: int) -> None:
     """Describe a stream that may begin again and one that may not."""
     context.streams = []
     for may_repeat in (True, False):
         stream = WatchedStream(
-            _no_cut, may_repeat, pause_ms / 1000, leaves_s, _may_leave
+            _no_cut, may_repeat, gap_ms / 1000, abandon_s, _may_leave
         )
         context.streams.append(stream)
 
 
-@given('engines that live are silent for {silence_ms:d} ms')
+@given('live engines are silent for {silence_ms:d} ms')
 def step_silence(context: Context, silence_ms: int) -> None:
     """Keep the silence that was learnt."""
     context.silence_s = silence_ms / 1000
 
 
-@then('a stream is left after a silence of {after_ms:d} ms')
+@then('a stream is moved after a silence of {after_ms:d} ms')
 def step_after(context: Context, after_ms: int) -> None:
     """Compare the bound."""
     mute_s = context.streams[0].silence_limit_s(LEAST_S, context.silence_s)
     assert abs(mute_s * 1000 - after_ms) < 1, mute_s
 
 
-@then('one that has a copy alone after {after_ms:d} ms')
+@then('one that can only continue from a copy after {after_ms:d} ms')
 def step_copy(context: Context, after_ms: int) -> None:
     """Compare the bound."""
     mute_s = context.streams[1].silence_limit_s(LEAST_S, context.silence_s)
@@ -63,10 +63,10 @@
 
 
 @given(
-    'a watch on {count:d} streams, of which {able:d} could be finished'
-    ' elsewhere'
+    'a detector with {count:d} streams, of which {movable:d} could be'
+    ' finished elsewhere'
 )
-def step_watch(context: Context, count: int, able: int) -> None:
+def step_watch(context: Context, count: int, movable: int) -> None:
     """Open streams at one engine, and one at another."""
     context.watch = SilenceDetector(LEAST_S)
     context.now_s = BEGIN_S
@@ -75,7 +75,7 @@
     context.state = _engine('up', pace)
     context.other = _engine('other', pace)
     for number in range(count):
-        _open(context, context.state, number, number < able)
+        _open(context, context.state, number, number < movable)
     for _ in range(count):
         _open(context, context.other, -1, True)
     _hear_both(context)
@@ -106,7 +106,7 @@
         context.watch.data_received(context.other, now_s)
 
 
-@when('their engine is heard after {ms:d} ms, {times:d} times')
+@when('their engine sends data after {ms:d} ms, {times:d} times')
 def step_heard(context: Context, ms: int, times: int) -> None:
     """Let the other one be heard all the time."""
     for _ in range(times):
@@ -115,7 +115,7 @@
         context.watch.data_received(context.state, context.now_s)
 
 
-@when('no engine is heard for {ms:d} ms, {times:d} times')
+@when('no engine sends data for {ms:d} ms, {times:d} times')
 def step_none(context: Context, ms: int, times: int) -> None:
     """Let both be silent and come back together."""
     for _ in range(times):
@@ -123,7 +123,7 @@
         _hear_both(context)
 
 
-@when('their engine is silent for {ms:d} ms and another is heard')
+@when('their engine is silent for {ms:d} ms and another sends data')
 def step_silent(context: Context, ms: int) -> None:
     """Look at the streams at the end of a silence that goes on."""
     context.cut.clear()
@@ -131,14 +131,14 @@
     context.watch.check(context.now_s + ms / 1000)
 
 
-@then('{count:d} stream is broken off')
-@then('{count:d} streams are broken off')
+@then('{count:d} stream is aborted')
+@then('{count:d} streams are aborted')
 def step_cut(context: Context, count: int) -> None:
     """Count those that were broken off."""
     assert len(context.cut) == count, context.cut
 
 
-@given('{count:d} streams at a silent engine and one repeat that is left')
+@given('{count:d} streams at a silent engine and one retry left')
 def step_one_repeat(context: Context, count: int) -> None:
     """Break off what may leave once another engine is heard."""
     budget = RetryBudget(0.0, 2.0, 10.0)
@@ -164,7 +164,7 @@
     watch.check(1.0)
 
 
-@then('one of them is broken off')
+@then('one of them is aborted')
 def step_one_broken(context: Context) -> None:
     """Count them."""
     assert len(context.broken_off) == 1, context.broken_off
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -15,9 +15,10 @@
 
 
 @given(
-    'an engine with {count:d} {sort} streams that was heard {ago_ms:d} ms ago'
+    'an engine with {count:d} {kind} streams that last sent data'
+    ' {ago_ms:d} ms ago'
 )
-def step_streams(context: Context, count: int, sort: str, ago_ms: int) -> None:
+def step_streams(context: Context, count: int, kind: str, ago_ms: int) -> None:
     """Open streams at an engine that was heard once."""
     context.watch = SilenceDetector(LoadPolicy().mute_ms / 1000)
     context.state = UpstreamState(
@@ -29,11 +30,11 @@
     context.streams = []
     for number in range(count):
         cut = _cut(context, number)
-        context.watch.stream_opened(context.state, cut, sort == 'plain')
+        context.watch.stream_opened(context.state, cut, kind == 'plain')
         context.streams.append(cut)
 
 
-@given('another with streams that was heard {ago_ms:d} ms ago')
+@given('another with streams that last sent data {ago_ms:d} ms ago')
 def step_another(context: Context, ago_ms: int) -> None:
     """Open a stream at another engine."""
     other = UpstreamState(
@@ -57,13 +58,13 @@
         context.watch.stream_closed(context.state, cut)
 
 
-@when('open streams are looked at')
+@when('open streams are checked')
 def step_look(context: Context) -> None:
     """Look once."""
     context.watch.check(context.now_s)
 
 
-@then('{count:d} of them are broken off')
+@then('{count:d} of them are aborted')
 def step_broken(context: Context, count: int) -> None:
     """Count the streams that were broken off."""
     assert len(context.cut) == count, context.cut
--- a/features/steps/subjects_steps.py
+++ b/features/steps/subjects_steps.py
@@ -49,23 +49,23 @@
 
 
 @given(
-    'engines that read {speed:d} tokens a ms and a prompt with 6,000 shared'
-    ' tokens'
+    'engines that prefill {speed:d} tokens per ms and a prompt with'
+    ' 6,000 shared tokens'
 )
 def step_engines(context: Context, speed: int) -> None:
     """Make a router that has sent nothing."""
     _make(context, float(speed))
 
 
-@when('engines are seen to read {speed:d} tokens a ms')
+@when('engines prefill {speed:d} tokens per ms')
 def step_faster(context: Context, speed: int) -> None:
     """Begin anew with faster ones."""
     _make(context, float(speed))
 
 
 @when(
-    "the first engine in the prompt's order has {wait_ms:d} ms to read before"
-    ' it'
+    "the first engine in the prompt's order has {wait_ms:d} ms of"
+    ' queued prefill'
 )
 def step_waits(context: Context, wait_ms: int) -> None:
     """Let an own request wait there."""
@@ -82,7 +82,7 @@
     context.other.record_parts(wall, PROMPT, engine, NOW_S)
 
 
-@when('the prompt names no parts')
+@when('the prompt has no parts')
 def step_no_parts(context: Context) -> None:
     """Send a model's name and a length only."""
     context.prompt = Prompt(MODEL, 6400, 20, 20, ())
--- a/features/steps/weights_gap_steps.py
+++ b/features/steps/weights_gap_steps.py
@@ -63,7 +63,8 @@
 
 
 @when(
-    'version {version:d} is found that was named within the last {gap_s:f} s'
+    'version {version:d} is found that was released within the last'
+    ' {gap_s:f} s'
 )
 def step_found(context: Context, version: int, gap_s: float) -> None:
     """Tell the router of it."""
@@ -104,7 +105,7 @@
     context.scripted = _Store(_CALLS[then])
 
 
-@when('it is told of a change after {after_s:f} s')
+@when('a change is reported to it after {after_s:f} s')
 def step_told(context: Context, after_s: float) -> None:
     """Follow the store until it tells the second value."""
     context.scripted.after_s = after_s
@@ -168,7 +169,7 @@
     context.late = (_LateStore(late_s), wait_s)
 
 
-@when('the store tells of another change at once')
+@when('the store reports another change at once')
 def step_other_change(context: Context) -> None:
     """Follow the store until it has told both."""
     store, wait_s = context.late
@@ -197,7 +198,7 @@
     bench.until_ready()
 
 
-@then('it knows that version {version:d} is named')
+@then('it knows that version {version:d} is released')
 def step_knows(context: Context, version: int) -> None:
     """Look at what it knows."""
     named = _knowledge(context).current_release(MODEL)
--- a/features/steps/weights_series_steps.py
+++ b/features/steps/weights_series_steps.py
@@ -145,14 +145,14 @@
         return max(ages, default=0.0)
 
 
-@given('the busiest has lacked a version for nearly all its time')
+@given('the weights of the busiest are nearly overdue')
 def step_near(context: Context) -> None:
     """Set the first engine's time."""
     context.near = context.engines[0].upstream_id
     context.engines[0] = replace(context.engines[0], nearly_overdue_in_s=-0.1)
 
 
-@then('just that one is ordered')
+@then('only that one is ordered')
 def step_just(context: Context) -> None:
     """Check the choice."""
     assert context.chosen == (context.near,), context.chosen
@@ -164,7 +164,7 @@
     context.fleet = _Fleet(count, part / 10)
 
 
-@when('versions are named every {every:d} s for {span:d} s')
+@when('versions are released every {every:d} s for {span:d} s')
 def step_named(context: Context, every: int, span: int) -> None:
     """Look ten times a second."""
     looks_apart = round(every / LOOK_S)
