--- a/features/steps/direct_load_steps.py
+++ b/features/steps/direct_load_steps.py
@@ -1,4 +1,4 @@
-"""Check a direct router's decisions on generated load."""
+"""Check a direct router's decisions under simulated load."""
 
 from dataclasses import dataclass
 from dataclasses import replace
@@ -18,67 +18,67 @@
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
 SECONDS = 20
-WANTED_MS = 400.0
-MEAN_READ_MS = 50.0
+LATENCY_TARGET_MS = 400.0
+MEAN_PREFILL_MS = 50.0
 NO_LIMIT_MS = 1e9
-SPEED = LoadPolicy().prefill_tokens_per_ms
+TOKENS_PER_MS = LoadPolicy().prefill_tokens_per_ms
 
 
 @dataclass
 class _Engine:
-    """Read prompts one after the other; remember who sent what."""
+    """Simulate an engine that prefills prompts one after the other."""
 
     free_ms: float = 0.0
 
-    def read(self, now_ms: float, read_ms: float) -> float:
-        """Add a prompt; return when its first event comes."""
-        self.free_ms = max(self.free_ms, now_ms) + read_ms
+    def prefill(self, now_ms: float, prefill_ms: float) -> float:
+        """Add a prompt; return the time of its first event."""
+        self.free_ms = max(self.free_ms, now_ms) + prefill_ms
         return self.free_ms
 
 
 @dataclass(frozen=True)
-class _Sent:
-    """Hold a prompt sent; ``late_ms`` beyond what was counted."""
+class _SentPrompt:
+    """Hold a sent prompt; ``lateness_ms`` is the delay beyond the estimate."""
 
-    first_ms: float
-    read_ms: float
-    late_ms: float
+    first_event_ms: float
+    prefill_ms: float
+    lateness_ms: float
 
 
 class _Router:
-    """Place prompts by the product's decision, by own load only.
+    """Place prompts by the router's own decisions and requests only.
 
-    ``learning``: also by how late its own first events came of late.
+    ``use_lateness``: also by the recent lateness of its own first events.
     """
 
     def __init__(
-        self, engines: int, policy: LoadPolicy, learning: bool
+        self, engines: int, policy: LoadPolicy, use_lateness: bool
     ) -> None:
         self._policy = policy
-        self._learning = learning
-        self._sent: list[list[_Sent]] = []
+        self._use_lateness = use_lateness
+        self._sent: list[list[_SentPrompt]] = []
         self._states: list[UpstreamState] = []
-        self._counted_ms = 0.0
+        self._expected_ms = 0.0
         for _ in range(engines):
             self._sent.append([])
             self._states.append(_state())
 
     def place(
-        self, now_ms: float, read_ms: float, left_ms: float
+        self, now_ms: float, prefill_ms: float, left_ms: float
     ) -> int | None:
         """Return the engine chosen, None when refused."""
         views = []
-        excess = []
+        lateness = []
         for number, sent in enumerate(self._sent):
-            self._learn(number, now_ms)
-            waiting_ms = sum(one.read_ms for one in sent)
-            excess.append(self._states[number].lateness_ms(now_ms / 1000))
+            self._remove_started(number, now_ms)
+            wait_ms = sum(prompt.prefill_ms for prompt in sent)
+            lateness.append(self._states[number].lateness_ms(now_ms / 1000))
             views.append(
                 EngineView(
                     str(number),
                     True,
-                    waiting_ms + excess[-1],
-                    read_ms,
+                    wait_ms + lateness[-1],
+                    prefill_ms,
                     len(sent),
                     len(sent),
                 )
@@ -87,57 +87,61 @@
         if isinstance(placed, NoCapacity):
             return None
         chosen = int(placed.upstream_id)
-        self._counted_ms = now_ms + placed.first_event_ms - excess[chosen]
+        self._expected_ms = now_ms + placed.first_event_ms - lateness[chosen]
         return chosen
 
-    def note(self, engine: int, first_ms: float, read_ms: float) -> None:
-        """Note when the prompt placed last will get its first event."""
-        late_ms = first_ms - self._counted_ms
-        self._sent[engine].append(_Sent(first_ms, read_ms, late_ms))
+    def record_sent(
+        self, engine: int, first_event_ms: float, prefill_ms: float
+    ) -> None:
+        """Record when the prompt placed last will get its first event."""
+        lateness_ms = first_event_ms - self._expected_ms
+        self._sent[engine].append(
+            _SentPrompt(first_event_ms, prefill_ms, lateness_ms)
+        )
 
-    def _learn(self, engine: int, now_ms: float) -> None:
-        open_ones = []
-        for one in self._sent[engine]:
-            if one.first_ms > now_ms:
-                open_ones.append(one)
+    def _remove_started(self, engine: int, now_ms: float) -> None:
+        waiting = []
+        for prompt in self._sent[engine]:
+            if prompt.first_event_ms > now_ms:
+                waiting.append(prompt)
                 continue
-            if self._learning:
-                at_s = one.first_ms / 1000
-                self._states[engine].record_lateness(one.late_ms, at_s)
-        self._sent[engine][:] = open_ones
+            if self._use_lateness:
+                at_s = prompt.first_event_ms / 1000
+                self._states[engine].record_lateness(prompt.lateness_ms, at_s)
+        self._sent[engine][:] = waiting
 
 
-def replay(
+def simulate(
     engines: int,
     routers: int,
     load: float,
-    refusing: bool,
-    learning: bool = True,
+    refuse_late: bool,
+    use_lateness: bool = True,
 ) -> float:
-    """Return the reading in ms of prompts answered in time, per engine ms."""
+    """Return the prefill of prompts answered in time, per engine time."""
     random = Random(7)
     pool = [_Engine() for _ in range(engines)]
     policy = LoadPolicy()
-    if not refusing:
+    if not refuse_late:
         policy = LoadPolicy(max_in_flight=10**6, max_waiting=10**6)
     fleet = []
     for _ in range(routers):
-        fleet.append(_Router(engines, policy, learning))
-    gap_ms = MEAN_READ_MS / (engines * load)
+        fleet.append(_Router(engines, policy, use_lateness))
+    gap_ms = MEAN_PREFILL_MS / (engines * load)
     now_ms = 0.0
     in_time_ms = 0.0
     while now_ms < SECONDS * 1000:
         now_ms += random.expovariate(1.0 / gap_ms)
-        read_ms = min(200.0, random.expovariate(1.0 / MEAN_READ_MS))
+        prefill_ms = min(200.0, random.expovariate(1.0 / MEAN_PREFILL_MS))
         router = random.choice(fleet)
-        left_ms = WANTED_MS * 0.8 if refusing else NO_LIMIT_MS
-        chosen = router.place(now_ms, read_ms, left_ms)
+        left_ms = LATENCY_TARGET_MS * 0.8 if refuse_late else NO_LIMIT_MS
+        chosen = router.place(now_ms, prefill_ms, left_ms)
         if chosen is None:
             continue
-        first_ms = pool[chosen].read(now_ms, read_ms)
-        router.note(chosen, first_ms, read_ms)
-        if first_ms - now_ms <= WANTED_MS:
-            in_time_ms += read_ms
+        first_event_ms = pool[chosen].prefill(now_ms, prefill_ms)
+        router.record_sent(chosen, first_event_ms, prefill_ms)
+        if first_event_ms - now_ms <= LATENCY_TARGET_MS:
+            in_time_ms += prefill_ms
     return in_time_ms / (SECONDS * 1000 * engines)
 
 
@@ -153,32 +157,39 @@
     'prompts need {load:f} times the prefill capacity of the engines'
     ' for 20 seconds'
 )
-def step_overload(context: Context, load: float) -> None:
-    """Replay the load with and without refusing."""
+def step_simulate(context: Context, load: float) -> None:
+    """Simulate the load with and without refusals."""
     engines, routers = context.sizes
     context.load = load
-    context.kept = replay(engines, routers, load, refusing=True)
-    context.fcfs = replay(engines, routers, load, refusing=False)
+    context.in_time = simulate(engines, routers, load, refuse_late=True)
+    context.in_time_unlimited = simulate(
+        engines, routers, load, refuse_late=False
+    )
 
 
 @then('at least {factor:f} times as much as without recorded lateness')
-def step_learning(context: Context, factor: float) -> None:
-    """Replay it by own load alone."""
+def step_without_lateness(context: Context, factor: float) -> None:
+    """Simulate the load without recorded lateness."""
     engines, routers = context.sizes
-    alone = replay(engines, routers, context.load, True, learning=False)
-    assert context.kept >= factor * alone, (context.kept, alone)
+    without = simulate(
+        engines, routers, context.load, True, use_lateness=False
+    )
+    assert context.in_time >= factor * without, (context.in_time, without)
 
 
 @then('at least {percent:d} percent of the capacity is answered in time')
-def step_kept(context: Context, percent: int) -> None:
-    """Compare with engines that read all the time."""
-    assert context.kept * 100 >= percent, context.kept
+def step_in_time(context: Context, percent: int) -> None:
+    """Compare with engines that prefill all the time."""
+    assert context.in_time * 100 >= percent, context.in_time
 
 
 @then('more than twice as much as when nothing is refused')
 def step_twice(context: Context) -> None:
-    """Compare with sending everything."""
-    assert context.kept > 2 * context.fcfs, (context.kept, context.fcfs)
+    """Compare with sending all prompts."""
+    assert context.in_time > 2 * context.in_time_unlimited, (
+        context.in_time,
+        context.in_time_unlimited,
+    )
 
 
 @given('an engine with {busy_ms:d} ms of queued prefill')
@@ -206,13 +217,13 @@
 
 @given('an engine in the own zone that is free after {own:d} ms')
 def step_own(context: Context, own: int) -> None:
-    """Set the near engine."""
+    """Add the engine in the router's zone."""
     context.views = [EngineView('own', True, float(own), 10.0, 0, 0)]
 
 
 @given('one in another zone that is free after {other:d} ms')
 def step_other(context: Context, other: int) -> None:
-    """Set the far engine."""
+    """Add the engine in another zone."""
     context.views.append(EngineView('other', False, float(other), 10.0, 0, 0))
 
 
@@ -239,7 +250,7 @@
     ' {prefill_ms:d} ms are queued'
 )
 def step_waiting(context: Context, count: int, prefill_ms: int) -> None:
-    """Count the prompts as sent."""
+    """Record the prompts as sent."""
     context.state = _state()
     for _ in range(count):
         context.state.open_request(float(prefill_ms), 5, 0.0)
@@ -247,22 +258,22 @@
 
 @then('an urgent prompt expects to wait less than {max_ms:d} ms')
 def step_urgent(context: Context, max_ms: int) -> None:
-    """Check what goes before it."""
-    assert context.state.queued_prefill_ms(3, SPEED) < max_ms
+    """Check the prefill that precedes it."""
+    assert context.state.queued_prefill_ms(3, TOKENS_PER_MS) < max_ms
 
 
 @then('a less urgent one expects to wait {wait_ms:d} ms')
 def step_less_urgent(context: Context, wait_ms: int) -> None:
-    """Check what goes before it."""
-    assert context.state.queued_prefill_ms(5, SPEED) == wait_ms
+    """Check the prefill that precedes it."""
+    assert context.state.queued_prefill_ms(5, TOKENS_PER_MS) == wait_ms
 
 
 @given(
     'an upstream that has sent no data for {wait_ms:d} ms while a'
     ' request waits'
 )
-def step_unheard(context: Context, wait_ms: int) -> None:
-    """Send a request and let the time pass."""
+def step_no_data(context: Context, wait_ms: int) -> None:
+    """Send a request and advance the time."""
     context.state = _state()
     context.state.open_request(10.0, 5, 100.0)
     context.now_s = 100.0 + wait_ms / 1000
@@ -270,20 +281,20 @@
 
 @then('it counts as silent')
 def step_silent(context: Context) -> None:
-    """Check the verdict."""
+    """Check that the upstream is silent."""
     assert context.state.is_silent(context.now_s)
 
 
 @then('it does not once data is received from it')
-def step_heard(context: Context) -> None:
-    """Hear something and check again."""
+def step_data(context: Context) -> None:
+    """Receive data and check again."""
     context.state.data_received(context.now_s)
     assert not context.state.is_silent(context.now_s)
 
 
 @given('{count:d} engines with version 1')
 def step_engines_at(context: Context, count: int) -> None:
-    """Set engines of growing load."""
+    """Add engines, the last with the fewest requests."""
     context.engines = []
     for number in range(count):
         context.engines.append(
@@ -293,7 +304,7 @@
 
 @given('{count:d} engines with version 1 of which {late:d} load later')
 def step_engines_later(context: Context, count: int, late: int) -> None:
-    """Let the idlest engines load now, the others in a while."""
+    """Schedule the busiest engines to load later, the others now."""
     step_engines_at(context, count)
     for number in range(late):
         engine = context.engines[number]
@@ -302,13 +313,13 @@
 
 @when('version {version:d} is released')
 def step_version(context: Context, version: int) -> None:
-    """Ask which engines to order."""
+    """Compute which engines to order."""
     context.version = version
     context.chosen = next_loads(context.engines, version, LoadPolicy())
 
 
 @then('{count:d} of them are ordered, the least busy first')
-def step_idlest(context: Context, count: int) -> None:
+def step_least_busy(context: Context, count: int) -> None:
     """Check the choice."""
     expected = []
     for engine in reversed(context.engines):
@@ -318,25 +329,25 @@
 
 @then('no other is ordered until one of them has loaded it')
 def step_no_further(context: Context) -> None:
-    """Ask again while the first ones load, then when one is done."""
-    under_way = []
+    """Compute again while the first ones load, then when one has loaded."""
+    loading = []
     for engine in context.engines:
         if engine.upstream_id in context.chosen:
             engine = EngineWeights(engine.upstream_id, 1, 0.2, 0)
-        under_way.append(engine)
-    assert not next_loads(under_way, context.version, LoadPolicy())
-    under_way[-1] = EngineWeights('done', context.version, 0.5, 0)
-    chosen = next_loads(under_way, context.version, LoadPolicy())
+        loading.append(engine)
+    assert not next_loads(loading, context.version, LoadPolicy())
+    loading[-1] = EngineWeights('done', context.version, 0.5, 0)
+    chosen = next_loads(loading, context.version, LoadPolicy())
     assert len(chosen) == 1
 
 
 @then('every order is for version {version:d}')
 def step_only_last(context: Context, version: int) -> None:
-    """Check that engines that have it are left alone, whatever they had."""
+    """Check that no engine is ordered once it has the version."""
     assert context.chosen
-    at_last = []
+    loaded = []
     for engine in context.engines:
-        at_last.append(
+        loaded.append(
             EngineWeights(engine.upstream_id, version, float('inf'), 0)
         )
-    assert not next_loads(at_last, version, LoadPolicy())
+    assert not next_loads(loaded, version, LoadPolicy())
--- a/features/steps/kept_parts_steps.py
+++ b/features/steps/kept_parts_steps.py
@@ -1,4 +1,4 @@
-"""Check what a router counts on to be kept."""
+"""Check which parts and copies a router relies on."""
 
 from dataclasses import replace
 
@@ -18,38 +18,40 @@
 from lacewing_daemon.direct._target import Target
 from support.direct_bench import BOUNDS
 from support.known_engines import ENGINE
-from support.known_engines import know_engines
 from support.known_engines import MODEL
+from support.known_engines import register_engines
 from support.known_engines import ROUTE
 from support.known_engines import SERVICE
 from tornado.httputil import HTTPHeaders
 
-WANTED_MS = 400.0
+LEFT_MS = 400.0
 NOW_S = 100.0
 SHARED_TOKENS = 2520 + 3780
 TOKENS_PER_MS = LoadPolicy().prefill_tokens_per_ms
 
 
 class _Router:
-    """Hold one router's knowledge and its placer."""
+    """Hold one router's cluster state and its placer."""
 
     def __init__(self, zone: str, zones: list[str]) -> None:
-        self.knowledge = ClusterState(BOUNDS, LoadPolicy(), lambda: NOW_S)
+        self.cluster_state = ClusterState(BOUNDS, LoadPolicy(), lambda: NOW_S)
         self.zone = zone
-        kept = Service(
+        store = Service(
             'kept', 0, None, KvStore('127.0.0.1:9', 'z0', 10**6, 4.5e10)
         )
-        know_engines(self.knowledge, zones, {'kept': kept})
+        register_engines(self.cluster_state, zones, {'kept': store})
         self.admitted = Admitted(ROUTE, SERVICE, None)
-        self.once = Admitted(replace(ROUTE, resumable=False), SERVICE, None)
-        self.placer = Placer(self.knowledge, zone)
+        self.without_retry = Admitted(
+            replace(ROUTE, resumable=False), SERVICE, None
+        )
+        self.placer = Placer(self.cluster_state, zone)
 
     def place(
         self, prompt: Prompt, excluded: frozenset[str] = frozenset()
     ) -> Target:
-        """Return where a prompt is placed."""
+        """Return the target chosen for a prompt."""
         target = self.placer.place(
-            _request(prompt), self.admitted, excluded, WANTED_MS, NOW_S
+            _request(prompt), self.admitted, excluded, LEFT_MS, NOW_S
         )
         assert isinstance(target, Target), target
         return target
@@ -82,15 +84,15 @@
 
 @given('{engines:d} engines in {zones:d} zones and a router in each zone')
 def step_routers(context: Context, engines: int, zones: int) -> None:
-    """Make routers that know the same engines."""
+    """Create routers that know the same engines."""
     names = [f'z{number}' for number in range(zones)]
-    placed = [names[number % zones] for number in range(engines)]
-    context.routers = [_Router(zone, placed) for zone in names]
+    engine_zones = [names[number % zones] for number in range(engines)]
+    context.routers = [_Router(zone, engine_zones) for zone in names]
 
 
 @when('a router has sent a prompt that was not answered yet')
 def step_sent(context: Context) -> None:
-    """Send a prompt; no first event comes."""
+    """Send a prompt that gets no first event."""
     router = context.routers[0]
     context.first = router.place(_prompt('first'))
     context.first.state.open_request(context.first.prefill_ms, 1, NOW_S)
@@ -100,8 +102,8 @@
 
 
 @then('other engines must prefill its parts')
-def step_read(context: Context) -> None:
-    """Place a prompt with the same parts where the first one is not."""
+def step_prefilled(context: Context) -> None:
+    """Place a prompt with the same parts on another engine."""
     router = context.routers[0]
     first_id = context.first.state.upstream.upstream_id
     elsewhere = router.place(_prompt('second'), frozenset((first_id,)))
@@ -110,7 +112,7 @@
 
 @then('once it is answered they only need to fetch them')
 def step_fetched(context: Context) -> None:
-    """Note the first event and place it again."""
+    """Record the first event and place the prompt again."""
     router = context.routers[0]
     first_id = context.first.state.upstream.upstream_id
     router.placer.cached_parts.record_prefilled(
@@ -122,9 +124,9 @@
 
 @given('each router knows of {count:d} routers')
 def step_known(context: Context, count: int) -> None:
-    """Tell each router how many there are."""
+    """Set the number of routers in each one's cluster state."""
     for router in context.routers:
-        router.knowledge.set_router_count(count)
+        router.cluster_state.set_router_count(count)
 
 
 @when('a router places runs that must not be retried')
@@ -135,18 +137,18 @@
     for number in range(100):
         prompt = Prompt(MODEL, 900, 80, 20, (PromptPart(f'{number}', 900),))
         target = router.placer.place(
-            _request(prompt), router.once, frozenset(), WANTED_MS, NOW_S
+            _request(prompt), router.without_retry, frozenset(), LEFT_MS, NOW_S
         )
         assert isinstance(target, Target), target
-        holder = target.copy_to
-        if holder is None:
+        copy_upstream = target.copy_to
+        if copy_upstream is None:
             continue
-        holder.open_copy(prompt.tokens)
-        name = holder.upstream.upstream_id
+        copy_upstream.open_copy(prompt.tokens)
+        name = copy_upstream.upstream.upstream_id
         context.copies[name] = context.copies.get(name, 0) + 1
 
 
 @then('each other engine keeps copies of at most {count:d} of them')
 def step_copied(context: Context, count: int) -> None:
-    """Check the most, and that it is reached."""
+    """Check the maximum, which is also reached."""
     assert max(context.copies.values(), default=0) == count, context.copies
--- a/features/steps/pace_steps.py
+++ b/features/steps/pace_steps.py
@@ -1,4 +1,4 @@
-"""Check that limits of time follow the pace of the engines."""
+"""Check that silence limits adapt to the speed of the engines."""
 
 import threading
 import time
@@ -19,8 +19,8 @@
 )
 RUNS = {'once': 1, 'twice': 2}
 LIMIT_MS = 12000
-# Callers come so far apart that few of them wait at an engine at a time.
-APART_S = 0.03
+# Interval between callers, so that few of them wait at an engine at a time.
+CALLER_INTERVAL_S = 0.03
 
 
 @given(
@@ -28,29 +28,29 @@
     ' may run {runs}'
 )
 def step_routes(context: Context, gap_ms: int, runs: str) -> None:
-    """Configure the streams and wait until that is in force."""
+    """Configure the streams and wait until the configuration is active."""
     bench = direct_bench(context)
-    told = {
+    options = {
         'TargetGapMs': gap_ms,
         'TimeoutMs': LIMIT_MS,
         'MaxAttempts': RUNS[runs],
     }
     bench.configure(
         Routes=[
-            route('/chat/', 'streaming', 'models', Resumable=True, **told),
-            route('/talk/', 'streaming', 'models', Resumable=False, **told),
+            route('/chat/', 'streaming', 'models', Resumable=True, **options),
+            route('/talk/', 'streaming', 'models', Resumable=False, **options),
         ]
     )
     version = bench.config['Version']
     bench.until(
         lambda: bench.routers[0].configuration == version,
-        'the configuration in force',
+        'the new configuration to be active',
     )
 
 
 @given('engines that send an event every {seconds:f} seconds')
-def step_beat(context: Context, seconds: float) -> None:
-    """Let each engine give its events together, one engine after another."""
+def step_event_interval(context: Context, seconds: float) -> None:
+    """Let each engine send its events together, one engine after another."""
     upstreams = list(direct_bench(context).upstreams.values())
     for number, upstream in enumerate(upstreams):
         upstream.beat_s = seconds
@@ -60,42 +60,42 @@
 @given('an engine that stalls')
 def step_stalls(context: Context) -> None:
     """Let one engine stall after the first event of each stream."""
-    # The prompts of the scenarios go to the last one for the most part.
+    # Most prompts of the scenarios go to the last engine.
     upstream = list(direct_bench(context).upstreams.values())[-1]
     upstream.always = Behaviour.STALLS
 
 
 @when('{count:d} callers ask models at once')
 def step_ask(context: Context, count: int) -> None:
-    """Ask for streams that may be resumed, side by side."""
+    """Request resumable streams concurrently."""
     bench = direct_bench(context)
-    context.paced = []
+    context.timed_answers = []
     callers = []
     for number in range(count):
         caller = threading.Thread(
-            target=lambda one: context.paced.append(_ask(bench, one)),
+            target=lambda one: context.timed_answers.append(_ask(bench, one)),
             args=(number,),
         )
         callers.append(caller)
         caller.start()
-        time.sleep(APART_S)
+        time.sleep(CALLER_INTERVAL_S)
     for caller in callers:
         caller.join()
 
 
 def _ask(bench: DirectBench, number: int) -> tuple[Answer, float]:
-    """Return the answer, and the seconds from its being sent to its end."""
+    """Return the answer and the seconds until its end."""
     while True:
         began_s = time.monotonic()
         answer = bench.ask_model(**_headers(number))
         if answer.status != 503:
             return answer, time.monotonic() - began_s
-        # Those beyond what may wait at an engine are refused and come back.
-        time.sleep(APART_S)
+        # Requests beyond an engine's queue limit are refused and retried.
+        time.sleep(CALLER_INTERVAL_S)
 
 
 def _headers(number: int) -> dict[str, str]:
-    # Prompts without a common part go to all engines alike.
+    # Prompts without a common part are spread evenly over the engines.
     parts = f'{number}a:100,{number}b:100,{number}c:100'
     return {
         PREFIX + 'Request-Id': f'paced-{number}',
@@ -107,7 +107,7 @@
 @then('every caller gets all events once and in order')
 def step_all(context: Context) -> None:
     """Check every answer."""
-    for answer, _ in context.paced:
+    for answer, _ in context.timed_answers:
         assert answer.status == 200, answer
         assert answer.body == EVENTS, answer
 
@@ -120,8 +120,8 @@
 
 
 @then('the stream was continued once')
-def step_went_on(context: Context) -> None:
-    """Compare the runs of the only request."""
+def step_continued(context: Context) -> None:
+    """Check the two runs of the only request."""
     ran = direct_bench(context).ran()
     assert ran == ['paced-0'] * 2, ran
 
@@ -129,5 +129,5 @@
 @then('each of them within {max_s:f} seconds')
 def step_within(context: Context, max_s: float) -> None:
     """Check how long the answers took."""
-    took = [seconds for _, seconds in context.paced]
-    assert max(took) < max_s, took
+    durations = [seconds for _, seconds in context.timed_answers]
+    assert max(durations) < max_s, durations
--- a/features/steps/retry_budget_steps.py
+++ b/features/steps/retry_budget_steps.py
@@ -11,7 +11,7 @@
 def step_budget(
     context: Context, routers: int, ratio: float, slack: int
 ) -> None:
-    """Make a budget for each router."""
+    """Create a budget for each router."""
     context.ratio, context.slack = ratio, slack
     context.budgets = []
     for _ in range(routers):
@@ -20,20 +20,20 @@
 
 @when('each of them gets {count:d} requests in 10 seconds and all are refused')
 def step_refused(context: Context, count: int) -> None:
-    """Repeat as often as the budgets let."""
+    """Retry as often as the budgets allow."""
     context.requests = count * len(context.budgets)
-    context.repeats = 0
+    context.retries = 0
     for budget in context.budgets:
         for number in range(count):
             now_s = 10.0 * number / count
             budget.count_request(now_s)
             while budget.spend(now_s, len(context.budgets), True):
-                context.repeats += 1
+                context.retries += 1
 
 
 @when('each of them has spent its budget for refused requests')
 def step_spent(context: Context) -> None:
-    """Spend all that is not kept for runs."""
+    """Spend all that is not reserved for runs."""
     for budget in context.budgets:
         for _ in range(100):
             budget.count_request(0.0)
@@ -43,7 +43,7 @@
 
 @then('it may still retry some that began to run')
 def step_some_left(context: Context) -> None:
-    """Spend what is kept for runs."""
+    """Spend the part reserved for runs."""
     for budget in context.budgets:
         left = 0
         while budget.spend(0.0, len(context.budgets), True):
@@ -55,4 +55,4 @@
 def step_within(context: Context) -> None:
     """Compare with the fleet's budget."""
     allowed = context.ratio * context.requests + context.slack
-    assert 0 < context.repeats <= allowed, (context.repeats, allowed)
+    assert 0 < context.retries <= allowed, (context.retries, allowed)
--- a/features/steps/silence_pace_steps.py
+++ b/features/steps/silence_pace_steps.py
@@ -1,4 +1,4 @@
-"""Check the bounds of silence and what is learnt from silences."""
+"""Check the silence limits and the silences that are recorded."""
 
 from functools import partial
 
@@ -15,16 +15,16 @@
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
 BEGIN_S = 100.0
-LEAST_S = LoadPolicy().mute_ms / 1000
-# How often another engine is heard.
+MIN_S = LoadPolicy().mute_ms / 1000
+# How often the other engine sends data.
 OTHER_MS = 30
 
 
-def _no_cut() -> None:
-    raise AssertionError('expected no stream to be broken off')
+def _unexpected_abort() -> None:
+    raise AssertionError('expected no stream to be aborted')
 
 
-def _may_leave(_others: int) -> bool:
+def _can_move(_moving: int) -> bool:
     return True
 
 
@@ -33,141 +33,143 @@
     ' abandon streams after {abandon_s:d} s'
 )
 def step_route(context: Context, gap_ms: int, abandon_s: int) -> None:
-    """Describe a stream that may begin again and one that may not."""
+    """Describe a stream that can be retried and one that can't."""
     context.streams = []
-    for may_repeat in (True, False):
+    for can_retry in (True, False):
         stream = WatchedStream(
-            _no_cut, may_repeat, gap_ms / 1000, abandon_s, _may_leave
+            _unexpected_abort, can_retry, gap_ms / 1000, abandon_s, _can_move
         )
         context.streams.append(stream)
 
 
 @given('live engines are silent for {silence_ms:d} ms')
 def step_silence(context: Context, silence_ms: int) -> None:
-    """Keep the silence that was learnt."""
+    """Set the usual silence."""
     context.silence_s = silence_ms / 1000
 
 
 @then('a stream is moved after a silence of {after_ms:d} ms')
 def step_after(context: Context, after_ms: int) -> None:
-    """Compare the bound."""
-    mute_s = context.streams[0].silence_limit_s(LEAST_S, context.silence_s)
-    assert abs(mute_s * 1000 - after_ms) < 1, mute_s
+    """Check the limit of the stream that can be retried."""
+    limit_s = context.streams[0].silence_limit_s(MIN_S, context.silence_s)
+    assert abs(limit_s * 1000 - after_ms) < 1, limit_s
 
 
 @then('one that can only continue from a copy after {after_ms:d} ms')
 def step_copy(context: Context, after_ms: int) -> None:
-    """Compare the bound."""
-    mute_s = context.streams[1].silence_limit_s(LEAST_S, context.silence_s)
-    assert abs(mute_s * 1000 - after_ms) < 1, mute_s
+    """Check the limit of the stream that can't be retried."""
+    limit_s = context.streams[1].silence_limit_s(MIN_S, context.silence_s)
+    assert abs(limit_s * 1000 - after_ms) < 1, limit_s
 
 
 @given(
     'a detector with {count:d} streams, of which {movable:d} could be'
     ' finished elsewhere'
 )
-def step_watch(context: Context, count: int, movable: int) -> None:
+def step_detector(context: Context, count: int, movable: int) -> None:
     """Open streams at one engine, and one at another."""
-    context.watch = SilenceDetector(LEAST_S)
+    context.detector = SilenceDetector(MIN_S)
     context.now_s = BEGIN_S
-    context.cut = []
-    pace = SilenceHistory()
-    context.state = _engine('up', pace)
-    context.other = _engine('other', pace)
+    context.aborted_streams = []
+    history = SilenceHistory()
+    context.state = _engine('up', history)
+    context.other = _engine('other', history)
     for number in range(count):
         _open(context, context.state, number, number < movable)
     for _ in range(count):
         _open(context, context.other, -1, True)
-    _hear_both(context)
+    _receive_both(context)
 
 
-def _engine(name: str, pace: SilenceHistory) -> UpstreamState:
+def _engine(name: str, history: SilenceHistory) -> UpstreamState:
     upstream = Upstream(name, 'models', '127.0.0.1:1', 'east', 8, False, {})
-    return UpstreamState(upstream, pace)
+    return UpstreamState(upstream, history)
 
 
 def _open(
-    context: Context, state: UpstreamState, number: int, able: bool
+    context: Context, state: UpstreamState, number: int, movable: bool
 ) -> None:
-    def cut() -> None:
-        context.cut.append(number)
+    def abort() -> None:
+        context.aborted_streams.append(number)
 
-    context.watch.stream_opened(state, cut, True, 0.25, 2.0, lambda _: able)
+    context.detector.stream_opened(
+        state, abort, True, 0.25, 2.0, lambda _: movable
+    )
 
 
-def _hear_both(context: Context) -> None:
+def _receive_both(context: Context) -> None:
     for state in (context.state, context.other):
-        context.watch.data_received(state, context.now_s)
+        context.detector.data_received(state, context.now_s)
 
 
-def _hear_other(context: Context, ms: int) -> None:
+def _receive_other(context: Context, ms: int) -> None:
     for later_ms in range(OTHER_MS, ms, OTHER_MS):
         now_s = context.now_s + later_ms / 1000
-        context.watch.data_received(context.other, now_s)
+        context.detector.data_received(context.other, now_s)
 
 
 @when('their engine sends data after {ms:d} ms, {times:d} times')
-def step_heard(context: Context, ms: int, times: int) -> None:
-    """Let the other one be heard all the time."""
+def step_data(context: Context, ms: int, times: int) -> None:
+    """Let the other engine send data all the time."""
     for _ in range(times):
-        _hear_other(context, ms)
+        _receive_other(context, ms)
         context.now_s += ms / 1000
-        context.watch.data_received(context.state, context.now_s)
+        context.detector.data_received(context.state, context.now_s)
 
 
 @when('no engine sends data for {ms:d} ms, {times:d} times')
 def step_none(context: Context, ms: int, times: int) -> None:
-    """Let both be silent and come back together."""
+    """Let both engines be silent and resume together."""
     for _ in range(times):
         context.now_s += ms / 1000
-        _hear_both(context)
+        _receive_both(context)
 
 
 @when('their engine is silent for {ms:d} ms and another sends data')
 def step_silent(context: Context, ms: int) -> None:
-    """Look at the streams at the end of a silence that goes on."""
-    context.cut.clear()
-    _hear_other(context, ms)
-    context.watch.check(context.now_s + ms / 1000)
+    """Check the streams during a silence that continues."""
+    context.aborted_streams.clear()
+    _receive_other(context, ms)
+    context.detector.check(context.now_s + ms / 1000)
 
 
 @then('{count:d} stream is aborted')
 @then('{count:d} streams are aborted')
-def step_cut(context: Context, count: int) -> None:
-    """Count those that were broken off."""
-    assert len(context.cut) == count, context.cut
+def step_aborted(context: Context, count: int) -> None:
+    """Count the streams that were aborted."""
+    assert len(context.aborted_streams) == count, context.aborted_streams
 
 
 @given('{count:d} streams at a silent engine and one retry left')
-def step_one_repeat(context: Context, count: int) -> None:
-    """Break off what may leave once another engine is heard."""
+def step_one_retry(context: Context, count: int) -> None:
+    """Run a check after another engine has sent data."""
     budget = RetryBudget(0.0, 2.0, 10.0)
     allowed = 0
     while budget.allows(0.0, 1, True, allowed):
         allowed += 1
     for _ in range(allowed - 1):
         assert budget.spend(0.0, 1, True)
-    watch = SilenceDetector(LEAST_S)
+    detector = SilenceDetector(MIN_S)
     silent = UpstreamState(_upstream('silent'))
     other = UpstreamState(_upstream('other'))
-    context.broken_off = []
+    context.aborted_streams = []
     for number in range(count):
-        watch.stream_opened(
+        detector.stream_opened(
             silent,
-            partial(context.broken_off.append, number),
+            partial(context.aborted_streams.append, number),
             True,
-            can_move=lambda others: budget.allows(0.0, 1, True, others),
+            can_move=lambda moving: budget.allows(0.0, 1, True, moving),
         )
-    watch.stream_opened(other, _no_cut, True)
-    watch.data_received(silent, 0.0)
-    watch.data_received(other, 1.0)
-    watch.check(1.0)
+    detector.stream_opened(other, _unexpected_abort, True)
+    detector.data_received(silent, 0.0)
+    detector.data_received(other, 1.0)
+    detector.check(1.0)
 
 
 @then('one of them is aborted')
-def step_one_broken(context: Context) -> None:
-    """Count them."""
-    assert len(context.broken_off) == 1, context.broken_off
+def step_one_aborted(context: Context) -> None:
+    """Count the streams that were aborted."""
+    assert len(context.aborted_streams) == 1, context.aborted_streams
 
 
 def _upstream(upstream_id: str) -> Upstream:
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -1,4 +1,4 @@
-"""Check which streams of a silent engine are broken off."""
+"""Check which streams of a silent engine are aborted."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from lacewing_daemon.direct._silence_detector import SilenceDetector
 from lacewing_daemon.direct._upstream_state import UpstreamState
 
-HEARD_S = 100.0
+LAST_DATA_S = 100.0
 
 
 @given(
@@ -19,19 +19,19 @@
     ' {ago_ms:d} ms ago'
 )
 def step_streams(context: Context, count: int, kind: str, ago_ms: int) -> None:
-    """Open streams at an engine that was heard once."""
-    context.watch = SilenceDetector(LoadPolicy().mute_ms / 1000)
+    """Open streams at an engine that sent data once."""
+    context.detector = SilenceDetector(LoadPolicy().mute_ms / 1000)
     context.state = UpstreamState(
         Upstream('up', 'models', '127.0.0.1:1', 'east', 8, False, {})
     )
-    context.state.data_received(HEARD_S)
-    context.now_s = HEARD_S + ago_ms / 1000
-    context.cut = []
+    context.state.data_received(LAST_DATA_S)
+    context.now_s = LAST_DATA_S + ago_ms / 1000
+    context.aborted_streams = []
     context.streams = []
     for number in range(count):
-        cut = _cut(context, number)
-        context.watch.stream_opened(context.state, cut, kind == 'plain')
-        context.streams.append(cut)
+        abort = _abort_function(context, number)
+        context.detector.stream_opened(context.state, abort, kind == 'plain')
+        context.streams.append(abort)
 
 
 @given('another with streams that last sent data {ago_ms:d} ms ago')
@@ -41,30 +41,30 @@
         Upstream('other', 'models', '127.0.0.1:2', 'east', 8, False, {})
     )
     other.data_received(context.now_s - ago_ms / 1000)
-    context.watch.stream_opened(other, _cut(context, -1), True)
+    context.detector.stream_opened(other, _abort_function(context, -1), True)
 
 
-def _cut(context: Context, number: int) -> Callable[[], None]:
-    def cut() -> None:
-        context.cut.append(number)
+def _abort_function(context: Context, number: int) -> Callable[[], None]:
+    def abort() -> None:
+        context.aborted_streams.append(number)
 
-    return cut
+    return abort
 
 
 @when('two of them end')
 def step_end(context: Context) -> None:
     """End two streams."""
-    for cut in context.streams[:2]:
-        context.watch.stream_closed(context.state, cut)
+    for abort in context.streams[:2]:
+        context.detector.stream_closed(context.state, abort)
 
 
 @when('open streams are checked')
-def step_look(context: Context) -> None:
-    """Look once."""
-    context.watch.check(context.now_s)
+def step_check(context: Context) -> None:
+    """Run one check."""
+    context.detector.check(context.now_s)
 
 
 @then('{count:d} of them are aborted')
-def step_broken(context: Context, count: int) -> None:
-    """Count the streams that were broken off."""
-    assert len(context.cut) == count, context.cut
+def step_aborted(context: Context, count: int) -> None:
+    """Count the streams that were aborted."""
+    assert len(context.aborted_streams) == count, context.aborted_streams
--- a/features/steps/subjects_steps.py
+++ b/features/steps/subjects_steps.py
@@ -1,4 +1,4 @@
-"""Check where a prompt is placed of whose subject a router knows little."""
+"""Check the placement of prompts whose subject a router rarely sees."""
 
 from behave import given
 from behave import then
@@ -34,17 +34,17 @@
 PROMPT = Prompt(MODEL, 6400, 20, 20, PARTS)
 
 
-def _make(context: Context, speed: float) -> None:
+def _create_router(context: Context, speed: float) -> None:
     policy = LoadPolicy(prefill_tokens_per_ms=speed)
-    context.knowledge = ClusterState(BOUNDS, policy, lambda: NOW_S)
+    context.cluster_state = ClusterState(BOUNDS, policy, lambda: NOW_S)
     for name in ('m-1', 'm-2'):
         upstream = Upstream(
             name, SERVICE, f'{name}:1', 'east', 8, False, {MODEL: 1}
         )
-        context.knowledge.update_upstream(name, upstream)
+        context.cluster_state.update_upstream(name, upstream)
     context.prompt = PROMPT
-    context.placer = Placer(context.knowledge, 'east')
-    states = context.knowledge.upstreams_of(SERVICE)
+    context.placer = Placer(context.cluster_state, 'east')
+    states = context.cluster_state.upstreams_of(SERVICE)
     context.first, context.other = by_preference(PROMPT, states)
 
 
@@ -53,61 +53,61 @@
     ' 6,000 shared tokens'
 )
 def step_engines(context: Context, speed: int) -> None:
-    """Make a router that has sent nothing."""
-    _make(context, float(speed))
+    """Create a router that has sent no requests."""
+    _create_router(context, float(speed))
 
 
 @when('engines prefill {speed:d} tokens per ms')
 def step_faster(context: Context, speed: int) -> None:
-    """Begin anew with faster ones."""
-    _make(context, float(speed))
+    """Start again with faster engines."""
+    _create_router(context, float(speed))
 
 
 @when(
     "the first engine in the prompt's order has {wait_ms:d} ms of"
     ' queued prefill'
 )
-def step_waits(context: Context, wait_ms: int) -> None:
-    """Let an own request wait there."""
+def step_queued(context: Context, wait_ms: int) -> None:
+    """Queue one of the router's own requests there."""
     if wait_ms:
         context.first.open_request(float(wait_ms), URGENCY, NOW_S)
 
 
 @when('the other engine was sent the shared parts before')
 def step_sent(context: Context) -> None:
-    """Note what was sent."""
-    wall = _place(context).cache_salt
+    """Record the parts as sent."""
+    cache_salt = _place(context).cache_salt
     engine = _service().engine
-    assert wall is not None and engine is not None
-    context.other.record_parts(wall, PROMPT, engine, NOW_S)
+    assert cache_salt is not None and engine is not None
+    context.other.record_parts(cache_salt, PROMPT, engine, NOW_S)
 
 
 @when('the prompt has no parts')
 def step_no_parts(context: Context) -> None:
-    """Send a model's name and a length only."""
+    """Use a prompt with only a model and a length."""
     context.prompt = Prompt(MODEL, 6400, 20, 20, ())
 
 
 @then('the prompt is placed on any engine')
 def step_any(context: Context) -> None:
-    """Place it."""
+    """Check that one of the engines is chosen."""
     placed = _place(context).state
     assert placed in (context.first, context.other)
 
 
 @then('the prompt is placed on the {which} engine')
 def step_placed(context: Context, which: str) -> None:
-    """Place it."""
+    """Check the chosen engine."""
     expected = context.first if which == 'first' else context.other
     placed = _place(context).state
     assert placed is expected, placed.upstream.upstream_id
 
 
-@then('its first event is expected after at least {least_ms:d} ms')
-def step_expected(context: Context, least_ms: int) -> None:
-    """Place it."""
-    first_ms = _place(context).first_event_ms
-    assert first_ms >= least_ms, first_ms
+@then('its first event is expected after at least {min_ms:d} ms')
+def step_expected(context: Context, min_ms: int) -> None:
+    """Check the expected first event."""
+    first_event_ms = _place(context).first_event_ms
+    assert first_event_ms >= min_ms, first_event_ms
 
 
 def _service() -> Service:
--- a/features/steps/weights_gap_steps.py
+++ b/features/steps/weights_gap_steps.py
@@ -1,4 +1,4 @@
-"""Check how long versions may be named of which a router did not hear."""
+"""Check the maximum age of releases that a router learns of late."""
 
 import asyncio
 from random import Random
@@ -20,12 +20,13 @@
 from support.direct_bench import MODEL
 from support.direct_bench import PREFIX
 
-# How near to a limit is looked; what pauses and the machine may add.
+# Distance from a limit at which it is checked.
 STEP_S = 0.01
+# Tolerance for pauses and a slow machine.
 SLOW_S = 0.25
 LIMIT_S = 10.0
-_NAMED = 'named'
-_SECOND = Changes(((_NAMED, 2),), 2)
+_ENTRY_NAME = 'named'
+_SECOND = Changes(((_ENTRY_NAME, 2),), 2)
 _CALLS: dict[str, Changes[int] | HistoryExpired | StoreError] = {
     'waits for a change': _SECOND,
     'whose call for changes fails': StoreError(StoreFault.UNAVAILABLE, 'x'),
@@ -34,7 +35,7 @@
 
 
 class _Store:
-    """Answer one list, then what a scenario says, then a second value."""
+    """Return one list, then the scenario's answer, then a second value."""
 
     def __init__(
         self, answer: Changes[int] | HistoryExpired | StoreError
@@ -45,14 +46,14 @@
         self._calls = 0
 
     async def read(self) -> Listing[int]:
-        """Give the next list."""
+        """Return the next list."""
         self._lists += 1
-        return Listing({_NAMED: self._lists}, self._lists)
+        return Listing({_ENTRY_NAME: self._lists}, self._lists)
 
     async def changes(
         self, since: int, wait_s: float
     ) -> Changes[int] | HistoryExpired | StoreError:
-        """Give the answer, then the second value, then nothing."""
+        """Return the answer, then the second value, then block."""
         if since > 1:
             await asyncio.Event().wait()
         self._calls += 1
@@ -67,36 +68,39 @@
     ' {gap_s:f} s'
 )
 def step_found(context: Context, version: int, gap_s: float) -> None:
-    """Tell the router of it."""
+    """Report the release to the router."""
     router = context.weights_router
     context.begin_s = router.clock.now_s
-    router.name(version, gap_s)
+    router.release(version, gap_s)
 
 
 @given('its process was started {ago_s:f} s ago')
 def step_started(context: Context, ago_s: float) -> None:
-    """Tell the router when that was."""
+    """Set the start of the router's process."""
     router = context.weights_router
-    router.knowledge.set_process_start(router.clock.now_s - ago_s)
+    router.cluster_state.set_process_start(router.clock.now_s - ago_s)
 
 
 @when('it finds version {version:d} as it starts')
 def step_found_at_start(context: Context, version: int) -> None:
-    """Tell the router of one that may have been named at any time."""
+    """Report a release that may have been made at any time."""
     router = context.weights_router
     context.begin_s = router.clock.now_s
-    router.name(version, float('inf'))
+    router.release(version, float('inf'))
 
 
 @then('engines with version 1 are used for {used_s:f} s more')
 def step_used(context: Context, used_s: float) -> None:
-    """Look right before and after."""
+    """Check right before and after the limit."""
     router = context.weights_router
-    newest = max(router.named)
-    for at_s, version in ((used_s - STEP_S, 1), (used_s + STEP_S, newest)):
+    latest = max(router.released_s)
+    for at_s, version in ((used_s - STEP_S, 1), (used_s + STEP_S, latest)):
         router.clock.now_s = context.begin_s + at_s
-        for name in router.ids:
-            assert router.asked(name) == version, (at_s, name)
+        for upstream_id in router.ids:
+            assert router.expected_version(upstream_id) == version, (
+                at_s,
+                upstream_id,
+            )
 
 
 @given('a router that reads a list and {then}')
@@ -106,58 +110,58 @@
 
 
 @when('a change is reported to it after {after_s:f} s')
-def step_told(context: Context, after_s: float) -> None:
-    """Follow the store until it tells the second value."""
+def step_reported(context: Context, after_s: float) -> None:
+    """Watch the store until it returns the second value."""
     context.scripted.after_s = after_s
-    context.unsure = asyncio.run(_follow(context.scripted))
+    context.max_ages = asyncio.run(_watch(context.scripted))
 
 
-async def _follow(
+async def _watch(
     store: Collection[int], wait_s: float = 4.0, last: int = 2
 ) -> dict[int, float]:
-    followed: CollectionWatcher[int] = CollectionWatcher(
+    watcher: CollectionWatcher[int] = CollectionWatcher(
         'entries', store, wait_s, Random()
     )
-    unsure = {}
-    told_all = asyncio.Event()
+    max_ages = {}
+    last_reported = asyncio.Event()
 
-    def told(_name: str, value: int | None) -> None:
+    def on_change(_name: str, value: int | None) -> None:
         assert value is not None
-        unsure[value] = followed.max_change_age_s
+        max_ages[value] = watcher.max_change_age_s
         if value == last:
-            told_all.set()
+            last_reported.set()
 
-    followed.on_change(told)
-    running = asyncio.create_task(followed.run())
-    await asyncio.wait_for(told_all.wait(), LIMIT_S)
+    watcher.on_change(on_change)
+    running = asyncio.create_task(watcher.run())
+    await asyncio.wait_for(last_reported.wait(), LIMIT_S)
     running.cancel()
-    return unsure
+    return max_ages
 
 
 @then('the change may have been made {ago_s:f} s before')
 def step_made(context: Context, ago_s: float) -> None:
-    """Compare; what the first list told is as old as one likes."""
-    assert context.unsure[1] == float('inf'), context.unsure
-    assert ago_s <= context.unsure[2] <= ago_s + SLOW_S, context.unsure
+    """Check the maximum age; the first list's values have no limit."""
+    assert context.max_ages[1] == float('inf'), context.max_ages
+    assert ago_s <= context.max_ages[2] <= ago_s + SLOW_S, context.max_ages
 
 
 class _LateStore:
-    """Answer one list, one change late, then another one at once."""
+    """Return one list, one late change, then another one at once."""
 
     def __init__(self, late_s: float) -> None:
         self._late_s = late_s
 
     async def read(self) -> Listing[int]:
-        """Give the list."""
-        return Listing({_NAMED: 0}, 1)
+        """Return the list."""
+        return Listing({_ENTRY_NAME: 0}, 1)
 
     async def changes(self, since: int, wait_s: float) -> Changes[int]:
-        """Give the changes, then nothing."""
+        """Return the changes, then block."""
         if since > 2:
             await asyncio.Event().wait()
         if since == 1:
             await asyncio.sleep(self._late_s)
-        return Changes(((_NAMED, since),), since + 1)
+        return Changes(((_ENTRY_NAME, since),), since + 1)
 
 
 @given(
@@ -171,15 +175,15 @@
 
 @when('the store reports another change at once')
 def step_other_change(context: Context) -> None:
-    """Follow the store until it has told both."""
+    """Watch the store until it has returned both."""
     store, wait_s = context.late
-    context.unsure = asyncio.run(_follow(store, wait_s, 2))
+    context.max_ages = asyncio.run(_watch(store, wait_s, 2))
 
 
 @then('the other change may have been made {ago_s:f} s before')
 def step_other_made(context: Context, ago_s: float) -> None:
-    """Compare."""
-    assert ago_s <= context.unsure[2] <= ago_s + SLOW_S, context.unsure
+    """Check the maximum age of the second change."""
+    assert ago_s <= context.max_ages[2] <= ago_s + SLOW_S, context.max_ages
 
 
 @when(
@@ -187,7 +191,7 @@
     ' the weights'
 )
 def step_without(context: Context, name: str, version: int) -> None:
-    """Take the named weights out of the store; start a router."""
+    """Remove the released weights from the store; start a router."""
     bench = direct_bench(context)
     for upstream in bench.upstreams.values():
         upstream.ignores_orders = True
@@ -200,33 +204,33 @@
 
 @then('it knows that version {version:d} is released')
 def step_knows(context: Context, version: int) -> None:
-    """Look at what it knows."""
-    named = _knowledge(context).current_release(MODEL)
-    assert named.version == version, named
+    """Check the current release in its cluster state."""
+    release = _cluster_state(context).current_release(MODEL)
+    assert release.version == version, release
 
 
 @then('it soon asks no engine for version {version:d}')
 def step_soon(context: Context, version: int) -> None:
-    """Wait until nothing older may begin, then send prompts."""
+    """Wait until no run may begin on older weights, then send prompts."""
     bench = direct_bench(context)
-    knowledge = _knowledge(context)
+    cluster_state = _cluster_state(context)
 
     def overdue() -> bool:
-        namings = knowledge.releases(MODEL)
+        releases = cluster_state.releases(MODEL)
         return (
-            min_allowed_version(namings, knowledge.old_weights_limit_s)
+            min_allowed_version(releases, cluster_state.old_weights_limit_s)
             > version
         )
 
-    bench.until(overdue, f'an end of version {version}')
+    bench.until(overdue, f'the end of use of version {version}')
     before = len(bench.received())
     for _ in range(5):
         assert bench.ask_model().status == 200, bench.answer
-    asked = []
+    expected = []
     for received in bench.received()[before:]:
-        asked.append(int(received.headers[PREFIX + 'Expected-Version']))
-    assert asked and min(asked) > version, asked
+        expected.append(int(received.headers[PREFIX + 'Expected-Version']))
+    assert expected and min(expected) > version, expected
 
 
-def _knowledge(context: Context) -> ClusterState:
+def _cluster_state(context: Context) -> ClusterState:
     return direct_bench(context).routers[0]._fleet.cluster_state
--- a/features/support/known_engines.py
+++ b/features/support/known_engines.py
@@ -1,4 +1,4 @@
-"""Make a router's knowledge of engines without a store."""
+"""Set up a router's cluster state with engines, without a store."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -34,25 +34,31 @@
 _LIMITS = Limits(10**6, 15.0)
 
 
-def know_engines(
-    knowledge: ClusterState,
+def register_engines(
+    cluster_state: ClusterState,
     zones: Sequence[str],
-    others: Mapping[str, Service] | None = None,
+    other_services: Mapping[str, Service] | None = None,
 ) -> list[str]:
-    """Tell of one engine in each zone named; return their ids."""
-    services = {SERVICE_NAME: SERVICE, **(others or {})}
-    knowledge.update_routing_config(
+    """Add one engine for each zone in the list; return their ids."""
+    services = {SERVICE_NAME: SERVICE, **(other_services or {})}
+    cluster_state.update_routing_config(
         RoutingConfig(1, (ROUTE,), services, None, _LIMITS)
     )
-    names = []
+    upstream_ids = []
     for number, zone in enumerate(zones):
-        name = f'engine-{number}'
+        upstream_id = f'engine-{number}'
         address = f'127.0.0.1:{number + 1}'
-        knowledge.update_upstream(
-            name,
+        cluster_state.update_upstream(
+            upstream_id,
             Upstream(
-                name, SERVICE_NAME, address, zone, SLOTS, False, {MODEL: 1}
+                upstream_id,
+                SERVICE_NAME,
+                address,
+                zone,
+                SLOTS,
+                False,
+                {MODEL: 1},
             ),
         )
-        names.append(name)
-    return names
+        upstream_ids.append(upstream_id)
+    return upstream_ids
