--- a/packages/daemon/src/lacewing_daemon/direct/_planner.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_planner.py
@@ -24,10 +24,10 @@
 from lacewing_daemon.lease import LeaseHeld
 
 # How often the holder checks for outdated engines, and renews its lease.
-LOOK_S = 0.1
-RENEW_S = 0.7
+CHECK_INTERVAL_S = 0.1
+RENEW_INTERVAL_S = 0.7
 # How often the other routers check whether the lease has lapsed.
-STANDBY_S = 0.8
+STANDBY_INTERVAL_S = 0.8
 # The holder considers its lease valid for this long after it sent the renewal.
 # Orders that it sends until then arrive within the timeout of a call to an
 # engine; its successor waits for both and for the bound between two holders.
@@ -74,7 +74,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._planning: asyncio.Task[None] | None = None
         self._stopping = False
-        self._backoff = Backoff(STANDBY_S / 2, STANDBY_S, Random())
+        self._backoff = Backoff(
+            STANDBY_INTERVAL_S / 2, STANDBY_INTERVAL_S, Random()
+        )
 
     def start(self) -> None:
         """Start the planning task."""
@@ -85,10 +87,12 @@
         while not self._stopping:
             await self._keep_lease()
             if not self._holds_lease:
-                await asyncio.sleep(STANDBY_S / 2 + self._backoff.next_s())
+                await asyncio.sleep(
+                    STANDBY_INTERVAL_S / 2 + self._backoff.next_s()
+                )
                 continue
             await self._order_due()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def stop(self) -> None:
         """Cancel pending orders and release the lease.
@@ -114,7 +118,7 @@
 
     async def _keep_lease(self) -> None:
         now_s = boot_s()
-        if self._lease.is_held and now_s - self._renewed_s < RENEW_S:
+        if self._lease.is_held and now_s - self._renewed_s < RENEW_INTERVAL_S:
             return
         was_held = self._holds_lease and self._lease.is_held
         result = await self._lease.acquire()
--- a/packages/daemon/src/lacewing_daemon/direct/_policy.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_policy.py
@@ -37,12 +37,12 @@
     ``load_turns``: one engine in so many loads new weights at a time; more
     at once would slow each other down.
     ``load_early_part``: fraction of the engines that loads a version as soon
-    as it is released; the others follow after ``load_late_ms``, by when most
-    runs that were open there have ended. On the engine model with a release
-    every 3.2 s, 2,500 ms earn 0.826, 4,000 ms 0.833 and 1,500 ms 0.767.
-    Where memory is scarce and there is one release in 34 s, 4,000 ms earned
-    0.735, 2,500 ms 0.774 and 1,500 ms 0.781, as half of the caches are
-    little used meanwhile.
+    as it is released; the remaining engines follow after ``load_late_ms``,
+    by when most runs that were open there have ended. On the engine model
+    with a release every 3.2 s, 2,500 ms earn 0.826, 4,000 ms 0.833 and 1,500
+    ms 0.767. Where memory is scarce and there is one release in 34 s, 4,000
+    ms earned 0.735, 2,500 ms 0.774 and 1,500 ms 0.781, as half of the caches
+    are little used meanwhile.
     ``load_turn_ms``: interval between two turns of loads.
     ``lost_run_ms``: how much sooner a first event must be expected of an
     engine that is about to load, if the load would lose the whole run.
--- a/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_silence_detector.py
@@ -19,8 +19,9 @@
 # 250 ms where live engines are silent for 175 ms.
 EVENT_GAP_FRACTION = 0.88
 # However slow engines are, a stream is moved once this fraction of the time
-# after which callers abandon it has passed. Half of the bound for runs that
-# continue from a copy, which is that of single streams, 1.4 s of 2 s.
+# after which callers abandon it has passed. It is half of the fraction for
+# runs that continue from a copy, whose limit is that of single streams: 1.4 s
+# of 2 s.
 ABANDON_FRACTION = 0.35
 # A stream without another upstream is checked again after this: finding
 # capacity for one costs 0.8 ms of processor time with 40 engines, and 24
