--- a/packages/daemon/src/lacewing_daemon/direct/_admission.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_admission.py
@@ -44,7 +44,7 @@
     if routing_config is None:
         return not_run(
             Reason.NOT_READY,
-            'the routing configuration is not loaded yet; retry the request',
+            'no configuration was read yet; repeat the request',
             NOT_READY_RETRY_S,
         )
     route = routing_config.route(request.host, request.path)
@@ -58,25 +58,21 @@
             # The key may have been revoked without this router knowing.
             return not_run(
                 Reason.PLATFORM_UNAVAILABLE,
-                'API keys are not confirmed recently enough;'
-                ' retry the request',
+                'keys could not be confirmed lately; repeat the request',
                 UNCONFIRMED_RETRY_S,
             )
         team = routing_config.teams.get(request.key)
         if team is None:
-            return not_run(Reason.BAD_KEY, 'unknown API key')
+            return not_run(Reason.BAD_KEY, 'unknown key')
     if len(request.body) > routing_config.limits.max_body_bytes:
         return not_run(
             Reason.TOO_LARGE,
-            'the body may have at most'
-            f' {routing_config.limits.max_body_bytes} bytes,'
+            f'at most {routing_config.limits.max_body_bytes} bytes are taken,'
             f' got {len(request.body)}',
         )
     service = _draw_service(route, routing_config, random)
     if service is None:
-        return not_run(
-            Reason.NO_WORKER, 'the route has no available service', 1.0
-        )
+        return not_run(Reason.NO_WORKER, 'no service on this route', 1.0)
     return Admitted(route, service, team)
 
 
