--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,16 +1,17 @@
 Feature: Routers keep their promises under random faults
 
-  Three router processes, a store and upstreams behind proxies. Faults are
-  drawn from a seed: links silenced, delayed, cut one way and reset, signals,
-  pauses, a store that loses answers, upstreams that spoil theirs.
+  Three router processes use a fake store and fake upstreams behind proxies.
+  Faults are drawn from a seed: links that drop data in one or both
+  directions, delay it or reset connections, signals, pauses, a store that
+  loses responses, upstreams with faulty responses.
 
-  Scenario: A stop signal that is repeated cuts nothing
-    # Symptom: a caller's answer is cut during a restart.
-    # Sequence: a router drains; the stop signal comes a second time.
-    # Cause: the second signal was taken for an operator's who can't wait.
+  Scenario: A repeated stop signal aborts no request
+    # Guards against answers that are aborted during a restart: a draining
+    # router took a second stop signal for that of an operator who can't wait
+    # and exited at once.
     Given a router process with a request under way
-    When the process gets two stop signals and the answers go on
-    Then the request is answered and the process ends by itself
+    When the process gets two stop signals and the upstreams resume
+    Then the request is answered and the process exits by itself
 
   Scenario: Seeds that failed once
     When every seed that ever failed is run
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Run the fault soak, and single faults on router processes."""
+"""Run the soak seeds, and single faults on router processes."""
 
 import asyncio
 import http.client
@@ -26,8 +26,8 @@
 from lacewing_platform_testing.soak._site import SoakSite
 
 
-class _OneRouter:
-    """Hold a site, one router process and a request under way."""
+class _SingleRouter:
+    """Run a site, one router process and a slow request."""
 
     def __init__(self) -> None:
         self.loop = LoopThread()
@@ -39,25 +39,29 @@
         )
         self.loop.call(self._start())
 
-    def ask_slowly(self) -> 'asyncio.Task[ObservedAnswer]':
-        """Send a request that its upstream holds."""
-        task: asyncio.Task[ObservedAnswer] = self.loop.call(self._ask())
+    def start_slow_request(self) -> 'asyncio.Task[ObservedAnswer]':
+        """Send a request that its upstream delays until resumed."""
+        task: asyncio.Task[ObservedAnswer] = self.loop.call(
+            self._start_slow_request()
+        )
         return task
 
-    def wait(self, task: 'asyncio.Task[ObservedAnswer]') -> ObservedAnswer:
-        """Return the answer."""
-        return self.loop.call(_result(task))
+    def wait_answer(
+        self, task: 'asyncio.Task[ObservedAnswer]'
+    ) -> ObservedAnswer:
+        """Wait for the answer to a slow request."""
+        return self.loop.call(_await_task(task))
 
     def signal_twice(self) -> None:
-        """Send the stop signal twice, then let the answers go on."""
+        """Send the stop signal twice, then resume the upstreams."""
         self.loop.call(self._signal_twice())
 
-    def until_ended(self) -> int:
-        """Return the exit code of the process's first life."""
-        return self.loop.call(self._until_ended())
+    def wait_exit(self) -> int:
+        """Wait for the first exit of the process; return its exit code."""
+        return self.loop.call(self._wait_exit())
 
     def close(self) -> None:
-        """Stop everything."""
+        """Stop the router and the site."""
         self.loop.call(self._close())
         self.loop.close()
 
@@ -65,10 +69,10 @@
         self.router.start()
         assert await is_serving([self.router.address], 20.0)
 
-    async def _ask(self) -> 'asyncio.Task[ObservedAnswer]':
+    async def _start_slow_request(self) -> 'asyncio.Task[ObservedAnswer]':
         for upstream in self.site.upstreams:
             upstream.hold.clear()
-        before = len(self._ran())
+        previous_runs = len(self._runs())
         connection = http.client.HTTPConnection(
             self.router.address, timeout=10.0
         )
@@ -77,7 +81,7 @@
                 send_request, connection, 'slow', '/certificates/1', KEYS[0]
             )
         )
-        while len(self._ran()) == before:
+        while len(self._runs()) == previous_runs:
             await asyncio.sleep(0.01)
         return task
 
@@ -89,7 +93,7 @@
         for upstream in self.site.upstreams:
             upstream.hold.set()
 
-    async def _until_ended(self) -> int:
+    async def _wait_exit(self) -> int:
         while not self.router.exits:
             await asyncio.sleep(0.01)
         return self.router.exits[0]
@@ -98,61 +102,65 @@
         await self.router.terminate()
         self.site.close()
 
-    def _ran(self) -> list[str]:
+    def _runs(self) -> list[str]:
         ran = []
         for upstream in self.site.upstreams:
             ran.extend(upstream.ran)
         return ran
 
 
-async def _result(task: 'asyncio.Task[ObservedAnswer]') -> ObservedAnswer:
+async def _await_task(task: 'asyncio.Task[ObservedAnswer]') -> ObservedAnswer:
     return await task
 
 
 @given('a router process with a request under way')
-def step_one(context: Context) -> None:
+def step_router_process(context: Context) -> None:
     """Start one router and a request that is not answered yet."""
-    context.one = _OneRouter()
-    context.resources.callback(context.one.close)
-    context.asked = context.one.ask_slowly()
+    context.single_router = _SingleRouter()
+    context.resources.callback(context.single_router.close)
+    context.slow_request = context.single_router.start_slow_request()
 
 
-@when('the process gets two stop signals and the answers go on')
-def step_twice(context: Context) -> None:
-    """Repeat the stop signal."""
-    context.one.signal_twice()
+@when('the process gets two stop signals and the upstreams resume')
+def step_signal_twice(context: Context) -> None:
+    """Repeat the stop signal while the router drains."""
+    context.single_router.signal_twice()
 
 
-@then('the request is answered and the process ends by itself')
+@then('the request is answered and the process exits by itself')
 def step_answered(context: Context) -> None:
     """Check the answer and the exit code."""
-    seen = context.one.wait(context.asked)
-    assert seen.status == 200, seen
-    assert seen.body == b'slow', seen
-    assert context.one.until_ended() == 0
+    answer = context.single_router.wait_answer(context.slow_request)
+    assert answer.status == 200, answer
+    assert answer.body == b'slow', answer
+    assert context.single_router.wait_exit() == 0
 
 
 @when('every seed that ever failed is run')
 def step_seeds(context: Context) -> None:
-    """Run the listed seeds side by side, but those with crashes."""
-    seeds = [one for one in _listed() if one['theme'] != Theme.CRASHES.value]
+    """Run the listed seeds concurrently, except those with crashes."""
+    seeds = [
+        one for one in _read_seeds() if one['theme'] != Theme.CRASHES.value
+    ]
     context.reports = asyncio.run(_run_all(seeds))
 
 
 @when('every seed with crashes that ever failed is run')
 def step_crash_seeds(context: Context) -> None:
-    """Run these side by side."""
-    seeds = [one for one in _listed() if one['theme'] == Theme.CRASHES.value]
+    """Run the listed seeds with crashes concurrently."""
+    seeds = [
+        one for one in _read_seeds() if one['theme'] == Theme.CRASHES.value
+    ]
     context.reports = asyncio.run(_run_all(seeds))
 
 
-def _listed() -> list[dict[str, Any]]:
-    listed = tomllib.loads(
+def _read_seeds() -> list[dict[str, Any]]:
+    document = tomllib.loads(
         resources.files('lacewing_platform_testing.soak')
         .joinpath('seeds.toml')
         .read_text()
     )
-    seeds: list[dict[str, Any]] = listed['seed']
+    seeds: list[dict[str, Any]] = document['seed']
     return seeds
 
 
@@ -167,7 +175,7 @@
 
 @then('no promise is broken')
 def step_none_broken(context: Context) -> None:
-    """Check each report."""
+    """Check that no report has a broken promise."""
     for report in context.reports:
         assert report.requests > 0, report
         assert not report.broken, report
