--- a/features/steps/slow_answers_steps.py
+++ b/features/steps/slow_answers_steps.py
@@ -1,4 +1,4 @@
-"""Check how long answers of the platform are waited for."""
+"""Steps for the timeouts of responses of the platform."""
 
 import asyncio
 import time
@@ -35,57 +35,59 @@
 
 
 @dataclass(frozen=True)
-class Took:
-    """Hold a result and the time that it took."""
+class TimedResult:
+    """Hold a result and the duration of its call."""
 
     result: StoredObject | StoreError
     seconds: float
 
 
 class SlowPlatform:
-    """Serve one large object slowly and all others at once."""
+    """Serve one large object slowly and all others immediately."""
 
     def __init__(self) -> None:
         self.server = FakeServer(self._handle)
         self.link = NarrowLink()
         self.large = b''
-        self.piece = 0
-        self.write_after_s = 0.0
-
-    async def _handle(self, received: ReceivedRequest) -> None:
-        large = received.path.endswith('/large')
-        body = self.large if large else SMALL
-        answer = complete_response(200, {'ETag': '"1"'}, body)
-        if large and received.method == 'PUT' and self.write_after_s:
-            await asyncio.sleep(self.write_after_s)
-            await received.stream.write(
+        self.piece_bytes = 0
+        self.write_delay_s = 0.0
+
+    async def _handle(self, request: ReceivedRequest) -> None:
+        is_large = request.path.endswith('/large')
+        body = self.large if is_large else SMALL
+        response = complete_response(200, {'ETag': '"1"'}, body)
+        if is_large and request.method == 'PUT' and self.write_delay_s:
+            await asyncio.sleep(self.write_delay_s)
+            await request.stream.write(
                 complete_response(200, {'ETag': '"1"'}, b'')
             )
             return
-        if not large:
-            await received.stream.write(answer)
+        if not is_large:
+            await request.stream.write(response)
             return
-        if not self.piece:
-            await self.link.send(received.stream, answer)
+        if not self.piece_bytes:
+            await self.link.send(request.stream, response)
             return
-        for start in range(0, len(answer), self.piece):
-            await received.stream.write(answer[start : start + self.piece])
+        for start in range(0, len(response), self.piece_bytes):
+            await request.stream.write(
+                response[start : start + self.piece_bytes]
+            )
             await asyncio.sleep(0.1)
 
 
-async def _timed(client: PlatformClient, name: str) -> Took:
-    began_s = time.monotonic()
+async def _timed(client: PlatformClient, name: str) -> TimedResult:
+    started_s = time.monotonic()
     result = await client.get(KIND, name)
-    return Took(result, time.monotonic() - began_s)
+    return TimedResult(result, time.monotonic() - started_s)
 
 
-@given('a platform whose calls begin to be answered within {begin_s:f} s')
-def step_platform(context: Context, begin_s: float) -> None:
-    """Serve on a loop of its own."""
+@given('a platform and a request timeout of {timeout_s:f} s')
+def step_platform(context: Context, timeout_s: float) -> None:
+    """Start the platform on a separate event loop."""
     context.loop = LoopThread()
     context.resources.callback(context.loop.close)
     context.platform = SlowPlatform()
-    context.begin_s = begin_s
+    context.timeout_s = timeout_s
 
     async def start() -> None:
         context.platform.server.start()
@@ -97,49 +99,50 @@
     context.resources.callback(lambda: context.loop.call(close()))
 
 
-async def _client(context: Context) -> PlatformClient:
+async def _open_client(context: Context) -> PlatformClient:
     return PlatformClient(
         context.platform.server.address,
         ClientOptions(
             connect_timeout_s=0.1,
-            request_timeout_s=context.begin_s,
+            request_timeout_s=context.timeout_s,
             max_concurrent_calls=1,
         ),
     )
 
 
-@given('a client with room for one call')
+@given('a client that allows one concurrent call')
 def step_client(context: Context) -> None:
-    """Connect it."""
+    """Open the client."""
 
     async def close() -> None:
         context.client.close()
 
-    context.client = context.loop.call(_client(context))
+    context.client = context.loop.call(_open_client(context))
     context.resources.callback(lambda: context.loop.call(close()))
 
 
-@when('an object of {size:d} bytes comes at {rate:d} bytes a second')
+@when('an object of {size:d} bytes is sent at {rate:d} bytes per second')
 def step_rate(context: Context, size: int, rate: int) -> None:
-    """Pace the answer."""
+    """Limit the rate of the response."""
     context.platform.large = b'x' * size
     context.platform.link.bytes_s = float(rate)
 
 
-@when('an object of {size:d} bytes falls silent after {most:d} bytes')
-def step_silent(context: Context, size: int, most: int) -> None:
-    """Stop the answer."""
+@when('an object of {size:d} bytes stalls after {max_bytes:d} bytes')
+def step_stalled_response(context: Context, size: int, max_bytes: int) -> None:
+    """Stop sending in the middle of the response."""
     context.platform.large = b'x' * size
-    context.platform.link.most = most
+    context.platform.link.most = max_bytes
 
 
 @when(
-    'an object of {size:d} bytes comes in pieces of {piece:d} bytes each 0.1 s'
+    'an object of {size:d} bytes is sent in pieces of {piece_bytes:d} bytes'
+    ' every 0.1 s'
 )
-def step_trickle(context: Context, size: int, piece: int) -> None:
-    """Let the answer trickle."""
+def step_trickle(context: Context, size: int, piece_bytes: int) -> None:
+    """Send the response in small pieces."""
     context.platform.large = b'x' * size
-    context.platform.piece = piece
+    context.platform.piece_bytes = piece_bytes
 
 
 async def _stall(after_s: float, stall_s: float) -> None:
@@ -162,14 +165,14 @@
 
 
 class _RecordingClient:
-    """Record the messages of calls that are given up."""
+    """Record the messages of aborted calls."""
 
     def __init__(self) -> None:
-        self.given_up: list[str] = []
+        self.messages: list[str] = []
 
     def abort(self, _request: object, message: str) -> None:
         """Record the message."""
-        self.given_up.append(message)
+        self.messages.append(message)
 
 
 class _ManualLoop:
@@ -207,10 +210,10 @@
             callback()
 
 
-def _take_at_last_check() -> list[str]:
+def _receive_at_last_check() -> list[str]:
     """Deliver the first data of a call right after its last check.
 
-    Return the messages of the calls that are given up.
+    Return the messages of the aborted calls.
     """
     recorder = _RecordingClient()
     client: Any = recorder
@@ -218,41 +221,41 @@
     loop = _ManualLoop()
     with patch.object(asyncio, 'get_running_loop', lambda: loop):
         transfer = _Transfer(client, LIMIT_S, LIMIT_S, False)
-    transfer.watch(request)
+    transfer.start(request)
     loop.advance(LIMIT_S)
-    loop.call_soon(partial(transfer.take, b'data'))
+    loop.call_soon(partial(transfer.add_piece, b'data'))
     loop.advance(LIMIT_S + RECHECK_DELAY_S)
     loop.run_ready()
-    return recorder.given_up
+    return recorder.messages
 
 
-@when('a call gets its first data in the iteration of its last check')
+@when('the first data of a call arrives in the iteration of its last check')
 def step_last_check(context: Context) -> None:
     """Read the data and run the check in one event loop iteration."""
-    context.given_up = _take_at_last_check()
+    context.aborted_messages = _receive_at_last_check()
 
 
-@then('the call is not given up')
-def step_not_given_up(context: Context) -> None:
-    """Check that no call was given up."""
-    assert not context.given_up, context.given_up
+@then('the call is not aborted')
+def step_not_aborted(context: Context) -> None:
+    """Check that no call was aborted."""
+    assert not context.aborted_messages, context.aborted_messages
 
 
-@when('its reader leaves after {after_s:f} s')
-def step_leave(context: Context, after_s: float) -> None:
+@when('its reader is cancelled after {after_s:f} s')
+def step_cancel_read(context: Context, after_s: float) -> None:
     """Cancel a read."""
 
-    async def leave() -> None:
+    async def cancel() -> None:
         reading = asyncio.create_task(context.client.get(KIND, 'large'))
         await asyncio.sleep(after_s)
         reading.cancel()
 
-    context.loop.call(leave())
+    context.loop.call(cancel())
 
 
 @when('it is written')
 def step_write(context: Context) -> None:
-    """Write with a silent answer."""
+    """Write an object whose response stalls."""
     context.result = context.loop.call(
         context.client.put(KIND, 'large', b'x', MUST_NOT_EXIST)
     )
@@ -264,7 +267,7 @@
 )
 def step_write_large(context: Context, size: int, after_s: float) -> None:
     """Write a large body."""
-    context.platform.write_after_s = after_s
+    context.platform.write_delay_s = after_s
     context.result = context.loop.call(
         context.client.put(KIND, 'large', b'x' * size, MUST_NOT_EXIST)
     )
@@ -272,7 +275,7 @@
 
 @when('the client is closed during a read')
 def step_close(context: Context) -> None:
-    """Close it, and note what fails later."""
+    """Close the client and record later errors."""
     context.failures = []
 
     async def close() -> None:
@@ -288,64 +291,64 @@
     context.loop.call(close())
 
 
-@then('nothing fails within {limit_s:f} s')
-def step_nothing_fails(context: Context, limit_s: float) -> None:
-    """Wait and look."""
+@then('no error is reported within {limit_s:f} s')
+def step_no_error(context: Context, limit_s: float) -> None:
+    """Check that no error was recorded, then reopen the client."""
     context.loop.call(asyncio.sleep(limit_s))
     assert not context.failures, context.failures
-    context.client = context.loop.call(_client(context))
+    context.client = context.loop.call(_open_client(context))
 
 
-@then('it is read whole')
-def step_whole(context: Context) -> None:
-    """Compare the value."""
-    took = context.loop.call(_timed(context.client, 'large'))
-    assert isinstance(took.result, StoredObject), took.result
-    assert took.result.value == context.platform.large
-    assert took.seconds > context.begin_s, took.seconds
+@then('it is read completely')
+def step_complete(context: Context) -> None:
+    """Compare the value and check that the timeout was exceeded."""
+    timed = context.loop.call(_timed(context.client, 'large'))
+    assert isinstance(timed.result, StoredObject), timed.result
+    assert timed.result.value == context.platform.large
+    assert timed.seconds > context.timeout_s, timed.seconds
 
 
-@then('the read is given up after {least_s:f} to {most_s:f} s')
-def step_given_up(context: Context, least_s: float, most_s: float) -> None:
-    """Look at the error and the time."""
-    took = context.loop.call(_timed(context.client, 'large'))
-    assert isinstance(took.result, StoreError), took.result
-    assert took.result.fault is StoreFault.UNAVAILABLE, took.result
-    assert least_s <= took.seconds <= most_s, took.seconds
-    context.error = took.result
+@then('the read is aborted after {min_s:f} to {max_s:f} s')
+def step_aborted(context: Context, min_s: float, max_s: float) -> None:
+    """Check the error and the duration."""
+    timed = context.loop.call(_timed(context.client, 'large'))
+    assert isinstance(timed.result, StoreError), timed.result
+    assert timed.result.fault is StoreFault.UNAVAILABLE, timed.result
+    assert min_s <= timed.seconds <= max_s, timed.seconds
+    context.error = timed.result
 
 
-@then('the error tells of {least:d} to {most:d} bytes')
-def step_bytes(context: Context, least: int, most: int) -> None:
-    """Look at the bytes that had come."""
-    assert least <= context.error.received <= most, context.error
+@then('the error reports {min_bytes:d} to {max_bytes:d} received bytes')
+def step_bytes(context: Context, min_bytes: int, max_bytes: int) -> None:
+    """Check the number of received bytes."""
+    assert min_bytes <= context.error.received <= max_bytes, context.error
 
 
-@then('the next call has room at once')
-def step_room(context: Context) -> None:
-    """Read another object."""
-    took = context.loop.call(_timed(context.client, 'small'))
-    assert isinstance(took.result, StoredObject), took.result
+@then('the next call succeeds immediately')
+def step_next_call(context: Context) -> None:
+    """Read another object once."""
+    timed = context.loop.call(_timed(context.client, 'small'))
+    assert isinstance(timed.result, StoredObject), timed.result
 
 
-@then('the next call has room within {limit_s:f} s')
-def step_room_soon(context: Context, limit_s: float) -> None:
-    """Read another object until it comes."""
+@then('the next call succeeds within {limit_s:f} s')
+def step_next_call_within(context: Context, limit_s: float) -> None:
+    """Retry reading another object until it succeeds."""
     end_s = time.monotonic() + limit_s
     while True:
-        took = context.loop.call(_timed(context.client, 'small'))
-        if isinstance(took.result, StoredObject):
+        timed = context.loop.call(_timed(context.client, 'small'))
+        if isinstance(timed.result, StoredObject):
             return
-        assert time.monotonic() < end_s, took.result
+        assert time.monotonic() < end_s, timed.result
 
 
 @then("the write's effect is unknown")
 def step_unknown(context: Context) -> None:
-    """Look at the fault."""
+    """Check the fault."""
     assert context.result.fault is StoreFault.UNKNOWN, context.result
 
 
 @then('it is acknowledged')
 def step_acknowledged(context: Context) -> None:
-    """Look at the result."""
+    """Check the result."""
     assert isinstance(context.result, StoredObject), context.result
--- a/packages/common/src/lacewing_common/__init__.py
+++ b/packages/common/src/lacewing_common/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the router, the agent and the command line share."""
+"""Provide the code shared by router, agent and command line."""
--- a/packages/common/src/lacewing_common/backoff.py
+++ b/packages/common/src/lacewing_common/backoff.py
@@ -1,16 +1,17 @@
-"""Space out retries, so that a herd does not return at once."""
+"""Compute randomized retry delays to avoid synchronized retries."""
 
 from random import Random
 
-_FACTOR = 2.0
+_GROWTH_FACTOR = 2.0
 
 
 class Backoff:
-    """Draw growing delays, evenly from 0 to a capped ceiling.
+    """Return exponential delays with full jitter, up to a cap.
 
-    Without the draw, all clients cut off by one outage would come back
-    together at its end and run into the platform's rate limit; one would
-    see refusals in step. The cap bounds how late a client notices the end.
+    Without jitter, all clients disconnected by one outage would retry at the
+    same moments and exceed the platform's rate limit, which shows as
+    synchronized refusals. The cap bounds how late a client notices the end
+    of an outage.
     """
 
     def __init__(
@@ -22,11 +23,11 @@
         self._ceiling_s = base_s
 
     def next_s(self) -> float:
-        """Draw the next delay in seconds and raise the ceiling."""
+        """Return a random delay in seconds and raise the ceiling."""
         delay_s = self._random.uniform(0.0, self._ceiling_s)
-        self._ceiling_s = min(self._cap_s, self._ceiling_s * _FACTOR)
+        self._ceiling_s = min(self._cap_s, self._ceiling_s * _GROWTH_FACTOR)
         return delay_s
 
     def reset(self) -> None:
-        """Start again from the lowest ceiling, after a success."""
+        """Return to the initial ceiling after a success."""
         self._ceiling_s = self._base_s
--- a/packages/common/src/lacewing_common/bundle.py
+++ b/packages/common/src/lacewing_common/bundle.py
@@ -1,4 +1,4 @@
-"""Describe the versioned bundle that operators sign off and roll."""
+"""Define the versioned bundle that operators sign off and roll out."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class ServiceKind(Enum):
-    """Tell what a service's workers are."""
+    """List the kinds of a service's workers."""
 
     MODEL = 'model'
     PLAIN = 'plain'
@@ -14,7 +14,7 @@
 
 
 class PolicyName(Enum):
-    """Name a routing policy that a service may select."""
+    """List the routing policies that a service can select."""
 
     EXPECTED_COST = 'expected-cost'
     RANDOM = 'random'
@@ -25,11 +25,11 @@
 
 
 class Part(msgspec.Struct, frozen=True, kw_only=True):
-    """Mark a part of a bundle."""
+    """Serve as the base class of all parts of a bundle."""
 
 
 class TeamLimits(Part, forbid_unknown_fields=True, frozen=True):
-    """Bound a team over all routers; 0 means no bound."""
+    """Limit a team across all routers; 0 means no limit."""
 
     requests_per_s: float = 0.0
     tokens_per_s: float = 0.0
@@ -37,7 +37,7 @@
 
 
 class Team(Part, forbid_unknown_fields=True, frozen=True):
-    """Name a team, its keys (SHA-256, hex), its services and its share."""
+    """Describe a team: key hashes (SHA-256, hex), services and share."""
 
     name: str
     key_hashes: tuple[str, ...]
@@ -47,9 +47,9 @@
 
 
 class Adapter(Part, forbid_unknown_fields=True, frozen=True):
-    """Name an adapter of a model and the version in force.
+    """Describe an adapter of a model and its active version.
 
-    ``adapter_gb`` is the memory that this version needs, 0: not known.
+    ``adapter_gb`` is the memory that this version requires, 0: unknown.
     """
 
     name: str
@@ -58,9 +58,9 @@
 
 
 class Model(Part, forbid_unknown_fields=True, frozen=True):
-    """Name a model, the weights version in force and its adapters.
+    """Describe a model, its active weights version and its adapters.
 
-    ``weights_gb`` is the memory that this version needs, 0: not known.
+    ``weights_gb`` is the memory that this version requires, 0: unknown.
     """
 
     name: str
@@ -70,34 +70,34 @@
 
 
 class Operator(Part, forbid_unknown_fields=True, frozen=True):
-    """Name a person who signs bundles, with an Ed25519 public key (hex)."""
+    """Describe a signer of bundles by name and Ed25519 public key (hex)."""
 
     name: str
     public_key: str
 
 
 class Policies(Part, forbid_unknown_fields=True, frozen=True):
-    """Rule how the next bundle is signed off.
+    """Configure which sign-offs the next bundle requires.
 
-    With ``separate_approver`` a second operator has to approve what the
-    author signed.
+    With ``separate_approver``, a second operator must approve the bundle
+    that the author signed.
     """
 
     separate_approver: bool = False
 
 
 class CostWeights(Part, forbid_unknown_fields=True, frozen=True):
-    """Weigh tail time to first token against recomputation, each >= 0."""
+    """Weight tail time to first token and recomputation, each >= 0."""
 
     tail: float = 1.0
     recomputation: float = 1.0
 
 
 class Pin(Part, forbid_unknown_fields=True, frozen=True):
-    """Keep a copy of a model at a worker or in an availability zone.
+    """Pin a copy of a model to a worker or an availability zone.
 
-    ``worker`` is the process id of the worker's agent. One of ``worker``
-    and ``zone`` is given.
+    ``worker`` is the process id of the worker's agent. Exactly one of
+    ``worker`` and ``zone`` is set.
     """
 
     model: str
@@ -106,12 +106,12 @@
 
 
 class Service(Part, forbid_unknown_fields=True, frozen=True):
-    """Describe a service: what it runs and how requests are treated.
+    """Describe a service: what it runs and how requests are handled.
 
     ``at_most_once_paths`` are path prefixes whose calls must not be
-    repeated. ``loads_at_once`` bounds concurrent weight loads.
-    ``worker_memory_gb`` is what one worker has for weights and adapters,
-    0: not known. ``pins`` keep copies in place.
+    retried. ``loads_at_once`` limits concurrent weight loads.
+    ``worker_memory_gb`` is the memory of one worker for weights and
+    adapters, 0: unknown. ``pins`` fix the location of copies.
     """
 
     name: str
@@ -131,7 +131,7 @@
 
 
 class Bundle(Part, forbid_unknown_fields=True, frozen=True):
-    """Hold all that operators configure.
+    """Hold the complete configuration set by operators.
 
     ``prefix_secret`` (hex) keys the prefix hashes. ``operators`` and
     ``policies`` decide who may sign the next bundle.
@@ -146,7 +146,7 @@
 
 
 class RolledBundle(msgspec.Struct, frozen=True):
-    """Hold a bundle in force and its strictly growing roll number."""
+    """Hold an active bundle and its strictly increasing roll number."""
 
     number: int
     digest: str
--- a/packages/common/src/lacewing_common/codec.py
+++ b/packages/common/src/lacewing_common/codec.py
@@ -1,4 +1,4 @@
-"""Encode messages for grpclib with msgspec's MessagePack."""
+"""Encode grpclib messages as MessagePack with msgspec."""
 
 from typing import Any
 from typing import TypeVar
@@ -13,18 +13,18 @@
 
 
 class FromRouter:
-    """Stand for the union of router frames where grpclib wants a class."""
+    """Represent the union of router frames; grpclib requires a class."""
 
 
 class FromAgent:
-    """Stand for the union of agent messages where grpclib wants a class."""
+    """Represent the union of agent messages; grpclib requires a class."""
 
 
 class MsgpackCodec(CodecBase):
-    """Turn messages into MessagePack and back.
+    """Encode and decode MessagePack messages.
 
-    Decoding raises ``msgspec.ValidationError`` on a malformed message; the
-    link that read it is then closed.
+    Decoding raises ``msgspec.ValidationError`` for a malformed message; the
+    link that received it is then closed.
     """
 
     __content_subtype__ = 'msgpack'
@@ -41,7 +41,7 @@
         return self._encoder.encode(message)
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Decode one message of a given type."""
+        """Decode one message of the given type."""
         decoder = self._decoders.get(message_type)
         if decoder is None:
             decoder = msgspec.msgpack.Decoder(message_type)
--- a/packages/common/src/lacewing_common/curl.py
+++ b/packages/common/src/lacewing_common/curl.py
@@ -1,4 +1,4 @@
-"""Use tornado's curl client without its known faults."""
+"""Work around known faults of tornado's curl client."""
 
 import pycurl
 from tornado.curl_httpclient import CurlAsyncHTTPClient
@@ -6,31 +6,32 @@
 
 
 class CurlClient(CurlAsyncHTTPClient):
-    """Leave no timer behind when closed with calls under way.
+    """Cancel the timer when closed with calls in progress.
 
-    Ending such calls, libcurl sets the client's timer anew; firing later,
-    it would find no client and log an ``AttributeError``.
+    When libcurl ends such calls, it sets the client's timer again; on
+    expiry, after the client is closed, it would log an ``AttributeError``.
     """
 
     def close(self) -> None:
-        """Close all connections and the timer."""
+        """Close all connections and cancel the timer."""
         super().close()
         if self._timeout is not None:
             self.io_loop.remove_timeout(self._timeout)
 
     def abort(self, request: HTTPRequest, message: str) -> None:
-        """End a call that is under way, as if its time were over.
+        """Abort a call in progress as if it had timed out.
 
-        Its connection is closed and its handle is free at once. libcurl's
-        own time limits can't be used: they count from the start of a call,
-        and silence by whole seconds.
+        Its connection is closed and its handle is freed immediately.
+        libcurl's own timeouts can't be used: they start with the call, and
+        its limit on silence has a resolution of whole seconds.
         """
         if self._multi is None:
-            # Closed: its calls never return, and its handles are gone.
+            # Already closed: pending calls never return, handles are freed.
             return
         for curl in self._curls:
             info = getattr(curl, 'info', None)
-            # The client holds a proxy of the request, with its defaults.
+            # The client stores a proxy object that adds default values to
+            # the request.
             if info is not None and info['request'].request is request:
                 self._finish(curl, pycurl.E_OPERATION_TIMEDOUT, message)
                 self._process_queue()
@@ -38,9 +39,9 @@
 
 
 def connect_directly(curl: pycurl.Curl) -> None:
-    """Have a call ignore the proxies named in the environment.
+    """Ignore proxies that are set in environment variables.
 
-    The system speaks to addresses of its own network; a proxy would answer
-    for them, and its answer would pass for the process' own.
+    The system connects to addresses of its own network; a response of a
+    proxy would be mistaken for a response of the process at that address.
     """
     curl.setopt(pycurl.NOPROXY, '*')
--- a/packages/common/src/lacewing_common/document.py
+++ b/packages/common/src/lacewing_common/document.py
@@ -1,8 +1,9 @@
-"""Describe documents that every process keeps a replica of.
+"""Define documents that are replicated to every process.
 
 A bundle and each service's placement plan are documents: a head with a
-strictly growing version names immutable parts by their SHA-256. The platform
-holds the authoritative copy; peers pass heads and missing parts on.
+strictly increasing version refers to immutable parts by their SHA-256. The
+platform stores the authoritative copy; peers distribute heads and missing
+parts.
 """
 
 from collections.abc import Callable
@@ -17,24 +18,24 @@
 
 
 class DocumentKind(Enum):
-    """Tell what a document holds."""
+    """List the kinds of documents."""
 
     BUNDLE = 'bundle'
     PLAN = 'plan'
 
 
 class DocumentName(msgspec.Struct, frozen=True, array_like=True):
-    """Name a document: its kind and, for plans, the service."""
+    """Identify a document by its kind and, for plans, the service."""
 
     kind: DocumentKind
     name: str
 
 
 class DocumentHead(msgspec.Struct, frozen=True, array_like=True):
-    """Name one version of a document and the parts it consists of.
+    """Identify one version of a document and its parts.
 
     ``version`` is the number of the roll or the fencing number of the plan;
-    ``proof`` is what the document's guard checks, such as a sign-off.
+    ``proof`` is checked by the document's validator, such as a sign-off.
     """
 
     document: DocumentName
@@ -44,7 +45,7 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """Hold a head with the bytes of its parts, in the head's order."""
+    """Hold a head and the bytes of its parts, in the order of the head."""
 
     head: DocumentHead
     parts: tuple[bytes, ...]
@@ -59,38 +60,38 @@
     """Check a document before a process uses it or offers it to a peer."""
 
     def __call__(self, document: Document) -> Refusal | None:
-        """Return why the document is not acceptable, or None."""
+        """Return why the document is rejected, or None if it is valid."""
 
 
 class DocumentReader(Protocol):
-    """Query the documents that this process holds."""
+    """Query the documents stored in this process."""
 
     def heads(self) -> tuple[DocumentHead, ...]:
-        """Return the head of each document held."""
+        """Return the head of each stored document."""
 
     def get(self, name: DocumentName) -> Document | None:
-        """Return a document held, whole."""
+        """Return a stored document with all its parts, or None."""
 
     def part(self, digest: str) -> bytes | None:
-        """Return a part held."""
+        """Return a stored part, or None."""
 
     def missing(self, head: DocumentHead) -> tuple[str, ...]:
-        """Return the digests of a head's parts that are not held."""
+        """Return the digests of a head's parts that are not stored."""
 
 
 class DocumentWriter(Protocol):
-    """Change the documents that this process holds."""
+    """Change the documents stored in this process."""
 
     def accept(
         self, head: DocumentHead, parts: Mapping[str, bytes]
     ) -> bool | Refusal:
-        """Take a newer version; false when it is not newer."""
+        """Store a later version; return false if it is not later."""
 
     def on_change(
         self, kind: DocumentKind, callback: Callable[[Document], None]
     ) -> None:
-        """Call back after each accepted version of a kind."""
+        """Register a callback for each accepted version of a kind."""
 
 
 class DocumentStore(DocumentReader, DocumentWriter, Protocol):
-    """Hold the replicas of one process."""
+    """Store the document replicas of one process."""
--- a/packages/common/src/lacewing_common/document_objects.py
+++ b/packages/common/src/lacewing_common/document_objects.py
@@ -1,7 +1,7 @@
-"""Lay documents out as objects of the platform.
+"""Map documents to objects of the platform.
 
 Parts are immutable objects named by their digest; the head of a document is
-one object, replaced by conditional updates only.
+a single object that is replaced only by conditional updates.
 """
 
 import msgspec
@@ -15,7 +15,7 @@
 
 
 def head_object(document: DocumentName) -> str:
-    """Return the name of a document's head among the heads."""
+    """Return the object name of a document's head."""
     if document.kind is DocumentKind.BUNDLE:
         return document.name
     return f'{document.kind.value}-{document.name}'
@@ -27,7 +27,7 @@
 
 
 def decode_head(value: bytes) -> DocumentHead | None:
-    """Read the value of a head's object; None when it is malformed."""
+    """Decode the value of a head's object; None if it is malformed."""
     try:
         return msgspec.json.decode(value, type=DocumentHead)
     except msgspec.DecodeError:
--- a/packages/common/src/lacewing_common/exits.py
+++ b/packages/common/src/lacewing_common/exits.py
@@ -1,4 +1,4 @@
-"""Name the exit codes of both binaries."""
+"""Define the exit codes of both executables."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class Exit(IntEnum):
-    """Tell why a process ended; 128 + n: ended at once by signal n."""
+    """List the exit codes; 128 + n: terminated immediately by signal n."""
 
     OK = 0
     FAILED = 1
--- a/packages/common/src/lacewing_common/identity.py
+++ b/packages/common/src/lacewing_common/identity.py
@@ -1,4 +1,4 @@
-"""Name processes, their incarnations and their places."""
+"""Identify processes, their incarnations and their locations."""
 
 import secrets
 import time
@@ -10,7 +10,7 @@
 
 
 class Role(Enum):
-    """Tell what a process does."""
+    """List the roles of processes."""
 
     ROUTER = 'router'
     AGENT = 'agent'
@@ -24,10 +24,10 @@
 
 
 class ProcessName(msgspec.Struct, frozen=True):
-    """Identify one run of one process.
+    """Identify one incarnation of a process.
 
-    ``incarnation`` grows with every start, so that nothing said about an
-    earlier run is taken for the present one.
+    ``incarnation`` increases with every start, so that information about an
+    earlier run is not applied to the current one.
     """
 
     process_id: str
@@ -38,6 +38,6 @@
 
 
 def new_incarnation() -> int:
-    """Make an incarnation: milliseconds since 1970, then 12 random bits."""
+    """Return milliseconds since 1970, followed by 12 random bits."""
     now_ms = time.time_ns() // 1_000_000
     return now_ms << _RANDOM_BITS | secrets.randbits(_RANDOM_BITS)
--- a/packages/common/src/lacewing_common/log.py
+++ b/packages/common/src/lacewing_common/log.py
@@ -1,4 +1,4 @@
-"""Set up structlog: JSON lines, a fixed prefix for each part."""
+"""Configure structlog: JSON lines with a fixed prefix for each part."""
 
 import logging
 import sys
@@ -15,7 +15,7 @@
 
 
 class Part(Enum):
-    """Name the parts of the system that write logs."""
+    """List the parts of the system that write logs."""
 
     MAIN = 'main'
     CALLERS = 'callers'
@@ -33,7 +33,7 @@
     STANDIN = 'standin'
 
 
-def _prefix(
+def _add_prefix(
     _logger: WrappedLogger, _method: str, event: EventDict
 ) -> EventDict:
     part = event.pop('part', Part.MAIN.value)
@@ -51,24 +51,24 @@
 
 
 def close_logs() -> None:
-    """Have the last lines written before the process ends at once."""
+    """Flush pending lines before the process terminates immediately."""
     for output in _outputs:
-        output.end()
+        output.wait_written()
 
 
 def set_up_logs(level: str, process_id: str) -> None:
     """Write JSON lines of at least ``level`` to standard output."""
-    number = logging.getLevelNamesMapping()[level.upper()]
+    level_number = logging.getLevelNamesMapping()[level.upper()]
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
-            _prefix,
+            _add_prefix,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(number),
+        wrapper_class=structlog.make_filtering_bound_logger(level_number),
         logger_factory=structlog.WriteLoggerFactory(cast(TextIO, _output())),
         cache_logger_on_first_use=False,
     )
@@ -76,6 +76,6 @@
 
 
 def get_log(part: Part) -> FilteringBoundLogger:
-    """Return the logger of one part."""
+    """Return the logger of a part."""
     log: FilteringBoundLogger = structlog.get_logger(part=part.value)
     return log
--- a/packages/common/src/lacewing_common/log_lines.py
+++ b/packages/common/src/lacewing_common/log_lines.py
@@ -1,4 +1,4 @@
-"""Describe the log lines that are read again to explain a request."""
+"""Define the log lines that tools read to explain a request."""
 
 from datetime import datetime
 
@@ -8,15 +8,16 @@
 class Try(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """Hold one send to an upstream; times in milliseconds.
 
-    ``expected_ms``: when its first event was expected, of which
-    ``waits_ms`` for the requests before it. ``others``: requests of other
-    routers that the upstream last told of. ``verdict`` and ``reason`` say
-    how it ended, ``status`` what the upstream answered. ``first_ms``: until
-    its first event or its answer, -1 if none came. ``weights``: the version
-    asked for; if older than the one named last, ``named`` is that one and
-    ``old_ms`` for how long a newer one had been named. ``went_on``: the run of
-    an earlier send was continued from its copy. ``copy``: the upstream that
-    kept a copy of this run's memory, '' for none.
+    ``expected_ms``: expected time to the first event, of which ``waits_ms``
+    is the wait for earlier requests. ``others``: requests of other routers
+    that the upstream last reported. ``verdict`` and ``reason`` are the
+    outcome, ``status`` is the status that the upstream returned.
+    ``first_ms``: time to the first event or the response, -1 if there was
+    none. ``weights``: the requested version; if it was superseded, ``named``
+    is the version released last and ``old_ms`` the time for which a later
+    version had been released. ``went_on``: the run of an earlier send was
+    continued from the copy of its KV cache. ``copy``: the upstream that kept
+    a copy of this run's KV cache, '' for none.
     """
 
     upstream: str
@@ -37,10 +38,10 @@
 
 
 class BrokenRun(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a run that its upstream broke off.
+    """Hold a run that its upstream interrupted.
 
-    ``same`` is the fingerprint of all requests which ask the same;
-    ``begun``: the run had brought an event.
+    ``same`` is the fingerprint that identical requests share; ``begun``: at
+    least one event of the run had been received.
     """
 
     request: str
@@ -49,12 +50,13 @@
 
 
 class LogLine(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one line of a process's log, as far as it is read again.
+    """Hold the fields of a log line that tools read.
 
-    ``request`` is the id on lines of requests and ``same`` the fingerprint of
-    those which ask the same, ``upstream`` and ``version`` are those of an
-    order to load weights, ``collection`` and ``fault`` of what the store no
-    longer tells, ``runs`` those that a crash of ``upstream`` broke off.
+    ``request`` is the id on lines of requests and ``same`` the fingerprint
+    that identical requests share; ``upstream`` and ``version`` belong to an
+    order to load weights, ``collection`` and ``fault`` to a collection of the
+    store that can't be watched; ``runs`` are those that a crash of
+    ``upstream`` interrupted.
     """
 
     event: str
--- a/packages/common/src/lacewing_common/online_estimates.py
+++ b/packages/common/src/lacewing_common/online_estimates.py
@@ -1,72 +1,81 @@
-"""Learn from what came true what work costs."""
+"""Estimate the cost of work online from observed samples."""
 
 _DECAY = 0.98
-_FIRST_MS_PER_BLOCK = 8.0
-_FIRST_BASE_MS = 30.0
-_LEAST_MS_PER_BLOCK = 0.01
-_GAIN = 0.05
-_FIRST_CHANCE = 0.5
+_INITIAL_MS_PER_BLOCK = 8.0
+_INITIAL_BASE_MS = 30.0
+_MIN_MS_PER_BLOCK = 0.01
+_SMOOTHING_FACTOR = 0.05
+_INITIAL_RATE = 0.5
 
 
 class PrefillCost:
-    """Fit a line of milliseconds to first token over computed blocks.
+    """Fit the time to first token as a linear function of computed blocks.
 
-    The sums decay, so that the line follows engines that slow down. It
-    starts from two invented points, whose weight soon fades.
+    The least-squares sums decay, so that the fit follows engines that slow
+    down. It starts from two assumed samples, whose weight decays quickly.
     """
 
     def __init__(self) -> None:
-        self._count = 0.0
-        self._blocks = 0.0
-        self._ms = 0.0
-        self._squares = 0.0
-        self._products = 0.0
+        self._weight = 0.0
+        self._sum_blocks = 0.0
+        self._sum_ms = 0.0
+        self._sum_blocks_squared = 0.0
+        self._sum_blocks_ms = 0.0
         for blocks in (0.0, 20.0):
-            first_ms = _FIRST_BASE_MS + blocks * _FIRST_MS_PER_BLOCK
+            first_ms = _INITIAL_BASE_MS + blocks * _INITIAL_MS_PER_BLOCK
             self._add(blocks, first_ms)
-        self._ms_per_block = _FIRST_MS_PER_BLOCK
-        self._base_ms = _FIRST_BASE_MS
+        self._ms_per_block = _INITIAL_MS_PER_BLOCK
+        self._base_ms = _INITIAL_BASE_MS
 
     @property
     def ms_per_block(self) -> float:
-        """Return the milliseconds that a computed block adds."""
+        """Return the additional milliseconds for each computed block."""
         return self._ms_per_block
 
     @property
     def base_ms(self) -> float:
-        """Return the milliseconds to first token without any block."""
+        """Return the milliseconds to first token without computed blocks."""
         return self._base_ms
 
     def update(self, blocks: float, first_token_ms: float) -> None:
-        """Take one request's computed blocks and time without its wait."""
+        """Add the blocks of a request and its time without queueing."""
         self._add(blocks, first_token_ms)
-        spread = self._count * self._squares - self._blocks**2
-        if spread < self._count:
+        denominator = (
+            self._weight * self._sum_blocks_squared - self._sum_blocks**2
+        )
+        if denominator < self._weight:
             return
-        slope = self._count * self._products - self._blocks * self._ms
-        self._ms_per_block = max(_LEAST_MS_PER_BLOCK, slope / spread)
-        rest = self._ms - self._ms_per_block * self._blocks
-        self._base_ms = max(0.0, rest / self._count)
+        numerator = (
+            self._weight * self._sum_blocks_ms
+            - self._sum_blocks * self._sum_ms
+        )
+        self._ms_per_block = max(_MIN_MS_PER_BLOCK, numerator / denominator)
+        remaining_ms = self._sum_ms - self._ms_per_block * self._sum_blocks
+        self._base_ms = max(0.0, remaining_ms / self._weight)
 
     def _add(self, blocks: float, first_token_ms: float) -> None:
-        self._count = self._count * _DECAY + 1.0
-        self._blocks = self._blocks * _DECAY + blocks
-        self._ms = self._ms * _DECAY + first_token_ms
-        self._squares = self._squares * _DECAY + blocks * blocks
-        self._products = self._products * _DECAY + blocks * first_token_ms
+        self._weight = self._weight * _DECAY + 1.0
+        self._sum_blocks = self._sum_blocks * _DECAY + blocks
+        self._sum_ms = self._sum_ms * _DECAY + first_token_ms
+        self._sum_blocks_squared = (
+            self._sum_blocks_squared * _DECAY + blocks * blocks
+        )
+        self._sum_blocks_ms = (
+            self._sum_blocks_ms * _DECAY + blocks * first_token_ms
+        )
 
 
 class RateEstimate:
-    """Learn how often something comes true."""
+    """Estimate the rate of an outcome by exponential smoothing."""
 
-    def __init__(self, first: float = _FIRST_CHANCE) -> None:
+    def __init__(self, first: float = _INITIAL_RATE) -> None:
         self._value = first
 
     @property
     def value(self) -> float:
-        """Return the expected share."""
+        """Return the estimated rate."""
         return self._value
 
     def update(self, share: float) -> None:
-        """Take one outcome between 0 and 1."""
-        self._value += _GAIN * (share - self._value)
+        """Add one outcome between 0 and 1."""
+        self._value += _SMOOTHING_FACTOR * (share - self._value)
--- a/packages/common/src/lacewing_common/plan.py
+++ b/packages/common/src/lacewing_common/plan.py
@@ -1,4 +1,4 @@
-"""Describe the plan that says which worker of a service holds what."""
+"""Define the placement plan of a service: which worker holds what."""
 
 import zlib
 
@@ -13,19 +13,19 @@
 from lacewing_common.verdict import Reason
 from lacewing_common.verdict import Refusal
 
-# Uncompressed; a plan of 148 workers takes some 20 KB.
-_MOST_BYTES = 4 * 1024 * 1024
+# Maximum uncompressed size; a plan of 148 workers has about 20 KB.
+_MAX_BYTES = 4 * 1024 * 1024
 
 
 class HeldAdapter(msgspec.Struct, frozen=True, order=True):
-    """Name an adapter and its version, as loaded or wanted."""
+    """Identify a loaded or planned adapter by name and version."""
 
     name: str
     version: str
 
 
 class HeldModel(msgspec.Struct, frozen=True):
-    """Name a model, its weights version and adapters, loaded or wanted."""
+    """Hold a loaded or planned model, its weights version and adapters."""
 
     model: str
     weights: str
@@ -33,7 +33,7 @@
 
 
 class WorkerPlan(msgspec.Struct, frozen=True):
-    """Say what one worker, named by its agent's process id, has to hold."""
+    """Hold the models planned for a worker, named by its agent's id."""
 
     worker: str
     availability_zone: str
@@ -41,11 +41,12 @@
 
 
 class ModelNote(msgspec.Struct, frozen=True):
-    """Say why a model has as many copies as it has.
+    """Explain the number of copies of a model.
 
-    ``busy`` is the mean number of requests at once; ``below_since_s`` the
-    time, in seconds since 1970, since when fewer copies would do, 0 if not.
-    ``late_copies`` were too few at ``late_at_s``: new requests waited.
+    ``busy`` is the mean number of concurrent requests; ``below_since_s`` is
+    the time, in seconds since 1970, since when fewer copies would suffice, 0
+    if they would not. ``late_copies`` copies were too few at ``late_at_s``:
+    new requests had to wait.
     """
 
     model: str
@@ -59,10 +60,10 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what each worker of a service has to hold.
+    """Hold the placement plan of a service.
 
     ``fence`` is the version of the planner's lease. ``planner_address`` is
-    the ``ip:port`` where agents report their demand.
+    the ``ip:port`` to which agents report their demand.
     """
 
     service: str
@@ -74,7 +75,7 @@
     models: tuple[ModelNote, ...] = ()
 
     def worker(self, process_id: str) -> WorkerPlan | None:
-        """Return what one worker has to hold; None: not planned for."""
+        """Return the plan of one worker; None if it is not in the plan."""
         for worker in self.workers:
             if worker.worker == process_id:
                 return worker
@@ -82,12 +83,12 @@
 
 
 def plan_name(service: str) -> DocumentName:
-    """Return the name of the document that holds a service's plan."""
+    """Return the name of the document of a service's plan."""
     return DocumentName(DocumentKind.PLAN, service)
 
 
 def plan_document(plan: Plan) -> Document:
-    """Make the document of a plan: one part, the fence its version."""
+    """Create the document of a plan: one part, versioned by the fence."""
     part = zlib.compress(msgspec.json.encode(plan))
     head = DocumentHead(
         plan_name(plan.service), plan.fence, (part_digest(part),)
@@ -96,33 +97,33 @@
 
 
 def read_plan(document: Document) -> Plan | Refusal:
-    """Read the plan of a document whose digests were compared before."""
+    """Decode the plan of a document whose digests are already verified."""
     head = document.head
     if len(document.parts) != 1:
-        return _refuse(head, f'expected 1 part, got {len(document.parts)}')
-    unpacking = zlib.decompressobj()
+        return _reject(head, f'expected 1 part, got {len(document.parts)}')
+    decompressor = zlib.decompressobj()
     try:
-        text = unpacking.decompress(document.parts[0], _MOST_BYTES)
+        text = decompressor.decompress(document.parts[0], _MAX_BYTES)
         plan = msgspec.json.decode(text, type=Plan)
     except (zlib.error, msgspec.DecodeError) as error:
-        return _refuse(head, str(error))
+        return _reject(head, str(error))
     if plan_name(plan.service) != head.document:
-        return _refuse(head, f'it is of the service {plan.service!r}')
+        return _reject(head, f'it is for service {plan.service!r}')
     if plan.fence != head.version:
-        return _refuse(head, f'its fencing number is {plan.fence}')
+        return _reject(head, f'its fencing number is {plan.fence}')
     workers = {worker.worker for worker in plan.workers}
     if len(workers) != len(plan.workers):
-        return _refuse(head, 'it names a worker twice')
+        return _reject(head, 'it contains a worker twice')
     return plan
 
 
 def validate_plan(document: Document) -> Refusal | None:
-    """Check a plan's document; replicas see to it that versions grow."""
+    """Validate a plan; replicas ensure that versions increase."""
     plan = read_plan(document)
     return plan if isinstance(plan, Refusal) else None
 
 
-def _refuse(head: DocumentHead, problem: str) -> Refusal:
+def _reject(head: DocumentHead, problem: str) -> Refusal:
     return not_run(
         Reason.BAD_REQUEST,
         f'plan {head.document.name} version {head.version}: {problem}',
--- a/packages/common/src/lacewing_common/plan_objects.py
+++ b/packages/common/src/lacewing_common/plan_objects.py
@@ -14,7 +14,7 @@
 async def read_plan_document(
     store: ObjectReads, service: str
 ) -> Document | None | StoreError:
-    """Read the plan in force; None when there is none yet."""
+    """Read the active plan; None if there is none."""
     stored = await store.get(HEADS, head_object(plan_name(service)))
     if isinstance(stored, StoreError):
         if stored.fault is StoreFault.NOT_FOUND:
--- a/packages/common/src/lacewing_common/platform_client.py
+++ b/packages/common/src/lacewing_common/platform_client.py
@@ -1,4 +1,4 @@
-"""Use the platform's object API over HTTP."""
+"""Implement the platform's object API over HTTP."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,7 +19,7 @@
 from lacewing_common.store import StoreFault
 from lacewing_common.store import Vm
 
-_FAULTS = {
+_STATUS_FAULTS = {
     404: StoreFault.NOT_FOUND,
     412: StoreFault.CONFLICT,
     413: StoreFault.TOO_LARGE,
@@ -30,13 +30,14 @@
 
 @dataclass(frozen=True)
 class ClientOptions:
-    """Bound the calls to the platform.
-
-    ``request_timeout_s`` bounds the wait for an answer to begin and each
-    silence within it, not its whole: objects have any size and links any
-    speed.
-    The first wait after a cut watch spreads over ``watch_backoff_base_s``,
-    so that a thousand processes cut at once stay within the read rate.
+    """Configure timeouts and concurrency of calls to the platform.
+
+    ``request_timeout_s`` bounds the time to the first byte of a response and
+    each gap without data, not the total time: the size of objects and the
+    speed of links are not limited.
+    The first delay after an interrupted watch is random, up to
+    ``watch_backoff_base_s``, so that 1,000 processes that are disconnected
+    at once stay within the platform's read rate limit.
     """
 
     connect_timeout_s: float = 1.0
@@ -60,11 +61,11 @@
 
 
 class PlatformClient:
-    """Read and change the platform's objects over HTTP.
+    """Read and change objects of the platform over HTTP.
 
-    ``platform`` is a base URL or ``ip:port``. Create and close it inside a
-    running event loop. Watches have slots of their own, so that a write
-    never waits behind them.
+    ``platform`` is a base URL or ``ip:port``. Create and close the client
+    inside a running event loop. Watches use a separate pool of connections,
+    so that writes never wait for them.
     """
 
     def __init__(
@@ -76,61 +77,61 @@
         self._options = options or ClientOptions()
         self._random = random or Random()
         base_url = platform if '://' in platform else f'http://{platform}'
-        self._calls = self._caller(
+        self._call_client = self._http_client(
             base_url, self._options.max_concurrent_calls
         )
-        self._watches = self._caller(
+        self._watch_client = self._http_client(
             base_url, self._options.max_concurrent_watches
         )
 
     def close(self) -> None:
-        """Close all connections; end or cancel calls and watches before."""
-        self._calls.close()
-        self._watches.close()
+        """Close all connections; finish or cancel pending calls first."""
+        self._call_client.close()
+        self._watch_client.close()
 
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
         """Read one object."""
         answer = await self._call('GET', _object_path(kind, name))
         if isinstance(answer, StoreError):
             return answer
-        return _stored(kind, name, answer)
+        return _object_from(kind, name, answer)
 
     async def list_names(
         self, kind: str
     ) -> tuple[StoredObject, ...] | StoreError:
-        """Read all objects of a kind, without their values."""
+        """List all objects of a kind, without their values."""
         answer = await self._call('GET', f'/objects/{quote(kind, safe="")}')
         if isinstance(answer, StoreError):
             return answer
         try:
             rows = msgspec.json.decode(answer.body, type=list[_NameRow])
         except msgspec.DecodeError as error:
-            return _malformed(f'a list of names: {error}')
-        found = []
+            return _malformed_error(f'a list of names: {error}')
+        objects = []
         for row in rows:
-            found.append(StoredObject(kind, row.name, row.version, b''))
-        return tuple(found)
+            objects.append(StoredObject(kind, row.name, row.version, b''))
+        return tuple(objects)
 
     async def vms(self) -> tuple[Vm, ...] | StoreError:
-        """Read the lagging VM list."""
+        """Read the VM list, which lags behind."""
         answer = await self._call('GET', '/vms')
         if isinstance(answer, StoreError):
             return answer
         try:
             return msgspec.json.decode(answer.body, type=tuple[Vm, ...])
         except msgspec.DecodeError as error:
-            return _malformed(f'a list of VMs: {error}')
+            return _malformed_error(f'a list of VMs: {error}')
 
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
-        """Write if the version is ``expect`` (0: must not exist)."""
+        """Write if the current version is ``expect`` (0: must not exist)."""
         answer = await self._call(
-            'PUT', _object_path(kind, name), _condition(expect), value
+            'PUT', _object_path(kind, name), _precondition(expect), value
         )
         if isinstance(answer, StoreError):
             return answer
-        version = _version(answer)
+        version = _version_of(answer)
         if version is None:
             return StoreError(
                 StoreFault.UNKNOWN,
@@ -141,20 +142,21 @@
     async def delete(
         self, kind: str, name: str, expect: int
     ) -> None | StoreError:
-        """Delete if the version is ``expect``."""
+        """Delete if the current version is ``expect``."""
         answer = await self._call(
-            'DELETE', _object_path(kind, name), _condition(expect)
+            'DELETE', _object_path(kind, name), _precondition(expect)
         )
         return answer if isinstance(answer, StoreError) else None
 
     async def watch(
         self, kind: str, name: str, after: int
     ) -> AsyncIterator[StoredObject | StoreError]:
-        """Yield each change of one object after a version.
+        """Yield each change of one object after version ``after``.
 
-        Changes that follow each other fast may show as the last of them. A
-        delete shows as NOT_FOUND, and the watch goes on. Each failed call
-        shows as its error, then the watch retries with backoff for ever.
+        Changes in quick succession may be merged into the last of them. A
+        deletion is reported as NOT_FOUND and the watch continues. The error
+        of each failed call is yielded, then the watch retries with backoff
+        without limit.
         """
         backoff = Backoff(
             self._options.watch_backoff_base_s,
@@ -168,12 +170,12 @@
                 continue
             if isinstance(change, StoreError):
                 yield change
-                await asyncio.sleep(_delay_s(change, backoff))
+                await asyncio.sleep(_retry_delay_s(change, backoff))
                 continue
             backoff.reset()
             after = change.version
             if isinstance(change, _Deleted):
-                yield _not_found(kind, name)
+                yield _not_found_error(kind, name)
                 continue
             yield change
 
@@ -183,18 +185,22 @@
         wait_s = self._options.watch_wait_s
         path = f'{_object_path(kind, name)}?watch={after}&wait_s={wait_s}'
         timeout_s = wait_s + self._options.request_timeout_s
-        answer = await self._watches.call(HttpCall('GET', path, timeout_s))
+        answer = await self._watch_client.call(
+            HttpCall('GET', path, timeout_s)
+        )
         if isinstance(answer, NoHttpAnswer):
-            return _lost(StoreFault.UNAVAILABLE, answer)
+            return _no_answer_error(StoreFault.UNAVAILABLE, answer)
         if answer.status == 304:
             return None
-        version = _version(answer)
+        version = _version_of(answer)
         if answer.status == 404 and version is not None and version > after:
             return _Deleted(version)
         if answer.status != 200:
-            return _error(answer, is_read=True)
+            return _status_error(answer, is_read=True)
         if version is None or version <= after:
-            return _malformed(f'a version of {kind}/{name} above {after}')
+            return _malformed_error(
+                f'a version of {kind}/{name} above {after}'
+            )
         return StoredObject(kind, name, version, answer.body)
 
     async def _call(
@@ -206,19 +212,19 @@
     ) -> HttpAnswer | StoreError:
         timeout_s = self._options.request_timeout_s
         call = HttpCall(method, path, timeout_s, headers or {}, body)
-        answer = await self._calls.call(call)
+        answer = await self._call_client.call(call)
         if isinstance(answer, HttpAnswer):
             if answer.status == 200:
                 return answer
-            return _error(answer, call.is_read)
+            return _status_error(answer, call.is_read)
         if call.is_read or not answer.may_be_sent:
-            return _lost(StoreFault.UNAVAILABLE, answer)
-        return _lost(StoreFault.UNKNOWN, answer)
+            return _no_answer_error(StoreFault.UNAVAILABLE, answer)
+        return _no_answer_error(StoreFault.UNKNOWN, answer)
 
-    def _caller(self, base_url: str, at_once: int) -> HttpClient:
+    def _http_client(self, base_url: str, max_concurrent: int) -> HttpClient:
         return HttpClient(
             base_url,
-            at_once,
+            max_concurrent,
             self._options.connect_timeout_s,
             self._options.request_timeout_s,
             self._options.ca_file,
@@ -229,38 +235,38 @@
     return f'/objects/{quote(kind, safe="")}/{quote(name, safe="")}'
 
 
-def _condition(expect: int) -> dict[str, str]:
+def _precondition(expect: int) -> dict[str, str]:
     if expect == MUST_NOT_EXIST:
         return {'If-None-Match': '*'}
     return {'If-Match': f'"{expect}"'}
 
 
-def _version(answer: HttpAnswer) -> int | None:
+def _version_of(answer: HttpAnswer) -> int | None:
     text = answer.headers.get('Etag', '').strip('"')
     return int(text) if text.isdigit() else None
 
 
-def _stored(
+def _object_from(
     kind: str, name: str, answer: HttpAnswer
 ) -> StoredObject | StoreError:
-    version = _version(answer)
+    version = _version_of(answer)
     if version is None:
-        return _malformed(f'an ETag with the version of {kind}/{name}')
+        return _malformed_error(f'an ETag with the version of {kind}/{name}')
     return StoredObject(kind, name, version, answer.body)
 
 
-def _lost(fault: StoreFault, answer: NoHttpAnswer) -> StoreError:
+def _no_answer_error(fault: StoreFault, answer: NoHttpAnswer) -> StoreError:
     return StoreError(fault, answer.message, received=answer.received)
 
 
-def _error(answer: HttpAnswer, is_read: bool) -> StoreError:
-    fault = _FAULTS.get(answer.status)
+def _status_error(answer: HttpAnswer, is_read: bool) -> StoreError:
+    fault = _STATUS_FAULTS.get(answer.status)
     if fault is None and 400 <= answer.status < 500:
         fault = StoreFault.REJECTED
     if fault is None:
         fault = StoreFault.UNAVAILABLE if is_read else StoreFault.UNKNOWN
     text = answer.body[:200].decode(errors='replace')
-    message = f'the platform answered {answer.status}: {text}'
+    message = f'the platform returned status {answer.status}: {text}'
     return StoreError(fault, message, _retry_after_s(answer))
 
 
@@ -269,15 +275,16 @@
     return float(text) if text.isdigit() else None
 
 
-def _delay_s(error: StoreError, backoff: Backoff) -> float:
+def _retry_delay_s(error: StoreError, backoff: Backoff) -> float:
     return (error.retry_after_s or 0.0) + backoff.next_s()
 
 
-def _malformed(expected: str) -> StoreError:
+def _malformed_error(expected: str) -> StoreError:
     return StoreError(
-        StoreFault.UNAVAILABLE, f'expected from the platform {expected}'
+        StoreFault.UNAVAILABLE,
+        f'malformed response of the platform: expected {expected}',
     )
 
 
-def _not_found(kind: str, name: str) -> StoreError:
+def _not_found_error(kind: str, name: str) -> StoreError:
     return StoreError(StoreFault.NOT_FOUND, f'{kind}/{name} does not exist')
--- a/packages/common/src/lacewing_common/platform_http.py
+++ b/packages/common/src/lacewing_common/platform_http.py
@@ -1,4 +1,4 @@
-"""Call the platform over HTTP and tell whether a call may have arrived."""
+"""Make HTTP calls and report whether a failed one may have been sent."""
 
 import asyncio
 from asyncio import Future
@@ -15,21 +15,24 @@
 from lacewing_common.curl import CurlClient
 
 _USER_AGENT = 'lacewing'
-# An answer that comes more slowly than this, its first silence aside, is
-# given up: a fortieth of the narrowest links that are in use (5 Mbit/s), so
-# that all calls at once get through on one of them; 1 MiB takes 64 s then.
+# Minimum average rate of a response body, not counting the wait for its first
+# byte; slower responses are aborted. 1/40 of the rate of the slowest links in
+# use (5 Mbit/s), so that all concurrent calls can complete on one such link.
+# At this rate 1 MiB takes 64 s.
 SLOWEST_BYTES_S = 16_384
-# A request's body is given this time to leave: the system can't see how much
-# of it has left the VM. A tenth of the narrowest links in use.
+# Assumed upload rate of a request body, which extends the timeout: the number
+# of bytes that have left the VM can't be observed. 1/10 of the rate of the
+# slowest links in use.
 SLOWEST_SENT_BYTES_S = 65_536
-# An overdue call is checked again after this delay before it is given up, so
+# An overdue call is checked again after this delay before it is aborted, so
 # that data that has already arrived is read first.
 _RECHECK_DELAY_S = 0.05
 # A check that runs later than scheduled by more than this indicates a stall
 # of the process.
 _STALL_THRESHOLD_S = 0.02
-# With these libcurl ends a call before it has sent a byte of the request.
-_NEVER_SENT = (
+# Errors with which libcurl ends a call before it sends any byte of the
+# request.
+_NOT_SENT_ERRORS = (
     pycurl.E_COULDNT_RESOLVE_HOST,
     pycurl.E_COULDNT_CONNECT,
     pycurl.E_SSL_CONNECT_ERROR,
@@ -39,10 +42,11 @@
 
 @dataclass(frozen=True)
 class HttpCall:
-    """Hold one HTTP call.
+    """Hold one HTTP request.
 
-    ``timeout_s`` bounds the wait for the answer to begin, from connect on.
-    An answer that has begun may take as long as it keeps arriving.
+    ``timeout_s`` bounds the time from connecting to the first byte of the
+    response body. There is no limit on the total time of a response that
+    keeps arriving.
     """
 
     method: str
@@ -53,13 +57,13 @@
 
     @property
     def is_read(self) -> bool:
-        """Tell whether the call changes nothing."""
+        """Return whether the call only reads."""
         return self.method == 'GET'
 
 
 @dataclass(frozen=True)
 class HttpAnswer:
-    """Hold an HTTP answer; its body took ``body_duration_s`` to arrive."""
+    """Hold an HTTP response; ``body_duration_s``: time to receive the body."""
 
     status: int
     headers: dict[str, str]
@@ -69,10 +73,10 @@
 
 @dataclass(frozen=True)
 class NoHttpAnswer:
-    """Report that no whole answer came.
+    """Report that no complete response was received.
 
-    ``may_be_sent``: false only when the call was surely not sent.
-    ``received``: bytes of the body that had come.
+    ``may_be_sent``: false only if the request was certainly not sent.
+    ``received``: number of bytes received of the body.
     """
 
     may_be_sent: bool
@@ -81,36 +85,36 @@
 
 
 class _CurlClient(CurlClient):
-    """Give each curl error its response, which holds the connect time."""
+    """Attach the response, with its connect time, to each curl error."""
 
     def fetch_impl(
         self, request: HTTPRequest, callback: Callable[[HTTPResponse], None]
     ) -> None:
-        """Fetch and pass on the response with the error tied to it."""
+        """Fetch; attach the response to its error before the callback."""
 
-        def pass_on(response: HTTPResponse) -> None:
+        def attach_response(response: HTTPResponse) -> None:
             if isinstance(response.error, CurlError):
                 response.error.response = response
             callback(response)
 
-        super().fetch_impl(request, pass_on)
+        super().fetch_impl(request, attach_response)
 
 
 class _Transfer:
-    """Watch one call and give it up when nothing more is to be expected.
-
-    A limit on the whole of a call would end each answer that is too large
-    for its link: the next call begins with the first byte and ends the same
-    way, for ever, and nothing else comes through meanwhile. So the wait for
-    the first byte is bounded, then each silence, and a trickle by what has
-    arrived. It goes on when the caller is cancelled: libcurl does, too, and
-    nothing else would free the handle.
+    """Monitor one call and abort it when its response stops arriving.
+
+    A limit on the total time would abort every response that is too large
+    for its link: each retry starts at the first byte and fails the same way,
+    for ever, and blocks the link for other calls. Instead, the wait for the
+    first byte, each gap without data and the average rate are limited. The
+    monitoring continues if the caller is cancelled, because libcurl
+    continues the call as well and nothing else would free the handle.
     """
 
     def __init__(
         self,
         client: _CurlClient,
-        begin_s: float,
+        first_byte_timeout_s: float,
         silence_s: float,
         is_read: bool,
     ) -> None:
@@ -118,62 +122,64 @@
         self._is_read = is_read
         self._loop = asyncio.get_running_loop()
         self._silence_s = silence_s
-        self._begin_by_s = self._loop.time() + begin_s
+        self._first_byte_due_s = self._loop.time() + first_byte_timeout_s
         self._request: HTTPRequest | None = None
         self._timer: asyncio.Handle | None = None
         self._check_due_s = 0.0
         self._rechecked = False
         self._extended_s = 0.0
-        self._first_s = 0.0
-        self._last_s = 0.0
+        self._first_piece_s = 0.0
+        self._last_piece_s = 0.0
         self._pieces: list[bytes] = []
         self._received = 0
 
     @property
     def body(self) -> bytes:
-        """Return what has arrived of the answer's body."""
+        """Return the bytes received of the response body."""
         return b''.join(self._pieces)
 
     @property
     def received(self) -> int:
-        """Return how many bytes of the body have arrived."""
+        """Return the number of bytes received of the body."""
         return self._received
 
     @property
-    def took_s(self) -> float:
-        """Return the time from the first piece of the body to the last."""
-        return self._last_s - self._first_s
+    def body_duration_s(self) -> float:
+        """Return the time between the first and last piece of the body."""
+        return self._last_piece_s - self._first_piece_s
 
-    def watch(self, request: HTTPRequest) -> None:
-        """Give the call up in time, until ``end``."""
+    def start(self, request: HTTPRequest) -> None:
+        """Start monitoring a request, until ``stop`` is called."""
         self._request = request
         self._schedule_check(self._due_s())
 
-    def take(self, piece: bytes) -> None:
-        """Take a piece of the body."""
+    def add_piece(self, piece: bytes) -> None:
+        """Append a piece of the body."""
         now_s = self._loop.time()
         if not self._pieces:
-            self._first_s = now_s
-        self._last_s = now_s
+            self._first_piece_s = now_s
+        self._last_piece_s = now_s
         self._rechecked = False
         self._extended_s = 0.0
         self._pieces.append(piece)
         self._received += len(piece)
 
-    def end(self, _fetch: 'Future[HTTPResponse]') -> None:
-        """Stop watching."""
+    def stop(self, _fetch: 'Future[HTTPResponse]') -> None:
+        """Stop monitoring."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _due_s(self) -> float:
         if not self._pieces:
-            return self._begin_by_s
-        silent_s = self._last_s + self._silence_s
-        slow_s = (
-            self._first_s + self._silence_s + self._received / SLOWEST_BYTES_S
+            return self._first_byte_due_s
+        silence_due_s = self._last_piece_s + self._silence_s
+        rate_due_s = (
+            self._first_piece_s
+            + self._silence_s
+            + self._received / SLOWEST_BYTES_S
         )
-        return max(self._begin_by_s, min(silent_s, slow_s))
+        return max(self._first_byte_due_s, min(silence_due_s, rate_due_s))
 
     def _schedule_check(self, at_s: float) -> None:
         self._check_due_s = at_s
@@ -190,12 +196,12 @@
             self._rechecked = True
             self._schedule_check(now_s + recheck_delay_s)
             return
-        # Data read in this event loop iteration is passed to ``take`` in the
-        # next one, before ``_give_up`` runs.
-        self._timer = self._loop.call_soon(self._give_up)
+        # Data read in this event loop iteration is passed to ``add_piece`` in
+        # the next one, before ``_abort`` runs.
+        self._timer = self._loop.call_soon(self._abort)
 
     def _recheck_delay_s(self, now_s: float) -> float:
-        """Return the delay until an overdue call is rechecked, 0 for never.
+        """Return the delay until an overdue call is rechecked, 0 for none.
 
         A late check indicates a stall of this process. The stall does not
         count as silence: data may have arrived meanwhile without being read.
@@ -211,24 +217,24 @@
             return extension_s
         return 0.0 if self._rechecked else _RECHECK_DELAY_S
 
-    def _give_up(self) -> None:
+    def _abort(self) -> None:
         due_s = self._due_s()
         if self._loop.time() < due_s:
             self._schedule_check(due_s)
             return
         self._timer = None
         assert self._request is not None
-        message = 'the answer did not begin in time'
+        message = 'the response did not start in time'
         if self._pieces:
-            message = f'the answer stopped after {self._received} bytes'
+            message = f'the response stalled after {self._received} bytes'
         self._client.abort(self._request, message)
 
 
 class HttpClient:
-    """Make a bounded number of calls at once to one base URL.
+    """Make a limited number of concurrent calls to one base URL.
 
-    ``silence_s``: an answer that has begun is given up after a silence of
-    this length.
+    ``silence_s``: a response that has started is aborted after this time
+    without data.
     """
 
     def __init__(
@@ -249,26 +255,28 @@
         )
 
     async def call(self, call: HttpCall) -> HttpAnswer | NoHttpAnswer:
-        """Make one call; cancelling it leaves a write's effect unknown."""
+        """Make one call; if cancelled, the effect of a write is unknown."""
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 await self._slots.acquire()
         except TimeoutError:
-            return NoHttpAnswer(False, 'too many calls to the platform wait')
-        body_s = len(call.body or b'') / SLOWEST_SENT_BYTES_S
+            return NoHttpAnswer(
+                False, 'too many calls to the platform are waiting'
+            )
+        upload_s = len(call.body or b'') / SLOWEST_SENT_BYTES_S
         transfer = _Transfer(
             self._client,
-            call.timeout_s + body_s,
+            call.timeout_s + upload_s,
             self._silence_s,
             call.is_read,
         )
         request = self._request(call, transfer)
         fetch = self._client.fetch(request, raise_error=False)
-        transfer.watch(request)
-        fetch.add_done_callback(transfer.end)
+        transfer.start(request)
+        fetch.add_done_callback(transfer.stop)
         fetch.add_done_callback(self._release)
-        # A cancelled caller must not free the slot: libcurl goes on with the
-        # call, and the next one would wait unseen for its handle.
+        # Cancelling the caller must not free the slot: libcurl continues the
+        # call, and the next call would wait for its handle without a timeout.
         try:
             response = await asyncio.shield(fetch)
         except CurlError as error:
@@ -279,11 +287,11 @@
             response.code,
             dict(response.headers),
             transfer.body,
-            transfer.took_s,
+            transfer.body_duration_s,
         )
 
     def close(self) -> None:
-        """Close all connections; calls under way never return."""
+        """Close all connections; pending calls never return."""
         self._client.close()
 
     def _request(self, call: HttpCall, transfer: _Transfer) -> HTTPRequest:
@@ -295,7 +303,7 @@
             body=call.body,
             connect_timeout=self._connect_timeout_s,
             request_timeout=0.0,
-            streaming_callback=transfer.take,
+            streaming_callback=transfer.add_piece,
             follow_redirects=False,
             decompress_response=False,
             user_agent=_USER_AGENT,
@@ -318,10 +326,11 @@
 def _prepare_write(curl: pycurl.Curl) -> None:
     """Send a write once, on a connection of its own.
 
-    When a kept connection breaks before the answer, libcurl sends the
-    request again by itself, unseen. The first may have taken effect with its
-    answer lost; the second then gets a conflict, and a writer would take its
-    own change for another's. libcurl never resends on a new connection.
+    If a reused connection breaks before the response, libcurl resends the
+    request on its own without reporting it. The first request may have taken
+    effect although its response was lost; the second one then gets a
+    conflict, and the writer would attribute its own change to another
+    writer. libcurl never resends on a new connection.
     """
     _prepare_read(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 1)
@@ -329,7 +338,7 @@
 
 
 def _may_be_sent(error: CurlError) -> bool:
-    if error.errno in _NEVER_SENT:
+    if error.errno in _NOT_SENT_ERRORS:
         return False
     if error.errno != pycurl.E_OPERATION_TIMEDOUT or error.response is None:
         return True
--- a/packages/common/src/lacewing_common/resolved_put.py
+++ b/packages/common/src/lacewing_common/resolved_put.py
@@ -1,4 +1,4 @@
-"""Write once although the platform's answer may get lost."""
+"""Write at most once and resolve lost responses."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class ResolvePolicy:
-    """Bound how long a lost answer is looked into, in seconds."""
+    """Configure how a write with a lost response is resolved, in seconds."""
 
     give_up_after_s: float = 10.0
     backoff_base_s: float = 0.05
@@ -31,16 +31,16 @@
     random: Random | None = None,
     era: int = 0,
 ) -> StoredObject | StoreError:
-    """Write if the version is ``expect``; read back after a lost answer.
+    """Write if the version is ``expect``; read back after a lost response.
 
-    ``value`` must carry a nonce of the writer, new for each change, so that
-    equal bytes mean that this write took effect. UNKNOWN is left only when
-    the platform can't be read in time, or when the object was replaced or
-    deleted since, so that this write may have been in force before.
+    ``value`` must contain a nonce that is new for each change, so that equal
+    bytes mean that this write took effect. UNKNOWN is returned only if the
+    platform can't be read in time, or if the object has been replaced or
+    deleted since, in which case this write may have been active before.
 
-    A lost answer followed by a plain retry would report a conflict with the
-    writer's own change, or undo a later one; here each retry carries the
-    same version, so the platform lets at most one of them in.
+    A plain retry after a lost response would report a conflict with the
+    writer's own change, or revert a later one. Here each retry has the same
+    precondition, so the platform accepts at most one of them.
     """
     answer = await store.put(kind, name, value, expect)
     if not _is_unknown(answer):
@@ -50,27 +50,28 @@
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + policy.give_up_after_s
     while loop.time() < give_up_at:
-        seen = await store.get(kind, name)
-        if 0 < era < seen.era:
+        current = await store.get(kind, name)
+        if 0 < era < current.era:
             return StoreError(
                 StoreFault.UNKNOWN,
-                f'the store returned from a copy during the write of {kind}/'
-                f'{name}; expected era {era}, got {seen.era}',
-                era=seen.era,
+                f'the store was restored during the write of {kind}/'
+                f'{name}; expected era {era}, got {current.era}',
+                era=current.era,
             )
-        settled = _settle(seen, value, expect)
-        if settled is not None:
-            return settled
-        if _is_absent_as_expected(seen, expect):
-            # The lost write may still be under way. It or this one gets in;
-            # the other meets a conflict, which the next read explains.
+        result = _resolve(current, value, expect)
+        if result is not None:
+            return result
+        if _is_unchanged(current, expect):
+            # The lost write may still be in flight. One of the two writes
+            # succeeds; the other gets a conflict, which the next read
+            # resolves.
             answer = await store.put(kind, name, value, expect)
             if isinstance(answer, StoredObject):
                 return answer
         await asyncio.sleep(backoff.next_s())
     return StoreError(
         StoreFault.UNKNOWN,
-        f'the answer to the write of {kind}/{name} was lost and reading'
+        f'the response to the write of {kind}/{name} was lost and reading'
         f' back failed for {policy.give_up_after_s} s; read it again',
     )
 
@@ -81,36 +82,36 @@
     return answer.fault is StoreFault.UNKNOWN
 
 
-def _is_absent_as_expected(
-    seen: StoredObject | StoreError, expect: int
-) -> bool:
-    if isinstance(seen, StoredObject):
-        return seen.version == expect
-    return seen.fault is StoreFault.NOT_FOUND and expect == MUST_NOT_EXIST
+def _is_unchanged(current: StoredObject | StoreError, expect: int) -> bool:
+    if isinstance(current, StoredObject):
+        return current.version == expect
+    return current.fault is StoreFault.NOT_FOUND and expect == MUST_NOT_EXIST
 
 
-def _settle(
-    seen: StoredObject | StoreError, value: bytes, expect: int
+def _resolve(
+    current: StoredObject | StoreError, value: bytes, expect: int
 ) -> StoredObject | StoreError | None:
-    if isinstance(seen, StoreError):
-        if seen.fault is StoreFault.NOT_FOUND and expect != MUST_NOT_EXIST:
+    if isinstance(current, StoreError):
+        if current.fault is StoreFault.NOT_FOUND and expect != MUST_NOT_EXIST:
             return StoreError(
-                StoreFault.UNKNOWN, f'deleted since: {seen.message}'
+                StoreFault.UNKNOWN,
+                f'deleted since the write: {current.message}',
             )
         return None
-    if seen.version == expect:
+    if current.version == expect:
         return None
-    if seen.value == value:
-        return seen
-    # Versions are integers: no write fits between this one and ``expect``.
-    if seen.version == expect + 1:
+    if current.value == value:
+        return current
+    # Versions are consecutive integers: no other write can have happened
+    # between ``expect`` and this version.
+    if current.version == expect + 1:
         return StoreError(
             StoreFault.CONFLICT,
-            f'expected version {expect} of {seen.kind}/{seen.name}; another'
-            f' writer made version {seen.version}',
+            f'expected version {expect} of {current.kind}/{current.name};'
+            f' another writer created version {current.version}',
         )
     return StoreError(
         StoreFault.UNKNOWN,
-        f'{seen.kind}/{seen.name} is at version {seen.version} by now; the'
-        f' write upon version {expect} may have been in force before',
+        f'{current.kind}/{current.name} is now at version {current.version};'
+        f' the write on version {expect} may have been active before',
     )
--- a/packages/common/src/lacewing_common/retries.py
+++ b/packages/common/src/lacewing_common/retries.py
@@ -1,4 +1,4 @@
-"""Repeat calls to the platform that failed without effect."""
+"""Retry platform calls that failed without effect."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -15,12 +15,12 @@
 from lacewing_common.store import StoreFault
 
 T = TypeVar('T')
-_PASSING = (StoreFault.RATE_LIMITED, StoreFault.UNAVAILABLE)
+_RETRYABLE_FAULTS = (StoreFault.RATE_LIMITED, StoreFault.UNAVAILABLE)
 
 
 @dataclass(frozen=True)
 class RetryPolicy:
-    """Bound how long a call is repeated, in seconds."""
+    """Configure for how long and how often a call is retried, in seconds."""
 
     give_up_after_s: float = 30.0
     backoff_base_s: float = 0.05
@@ -32,7 +32,7 @@
     policy: RetryPolicy,
     random: Random,
 ) -> T | StoreError:
-    """Repeat a call while the platform is limited or unavailable."""
+    """Retry a call while the platform is rate limited or unavailable."""
     backoff = Backoff(policy.backoff_base_s, policy.backoff_cap_s, random)
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + policy.give_up_after_s
@@ -40,7 +40,7 @@
         answer = await call()
         if not isinstance(answer, StoreError):
             return answer
-        if answer.fault not in _PASSING or loop.time() > give_up_at:
+        if answer.fault not in _RETRYABLE_FAULTS or loop.time() > give_up_at:
             return answer
         await asyncio.sleep((answer.retry_after_s or 0.0) + backoff.next_s())
 
@@ -53,10 +53,10 @@
     policy: RetryPolicy,
     random: Random,
 ) -> None | StoreError:
-    """Write an immutable part; one that exists is the same part.
+    """Write an immutable part; an existing part counts as success.
 
-    The name is the digest of the bytes, so that a lost answer needs no
-    reading back: the write is repeated and meets its own part.
+    The name is the digest of the bytes, so a lost response does not require
+    a read: the write is retried, and a conflict means that the part exists.
     """
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + policy.give_up_after_s
--- a/packages/common/src/lacewing_common/settings.py
+++ b/packages/common/src/lacewing_common/settings.py
@@ -1,4 +1,4 @@
-"""Read and check the JSON settings of a daemon."""
+"""Read and validate the JSON settings of a daemon."""
 
 from enum import Enum
 from ipaddress import ip_address
@@ -13,16 +13,16 @@
 
 
 class SettingsError(ValueError):
-    """Name the wrong field, what was expected and what came."""
+    """Report the invalid field, the expected value and the actual one."""
 
 
-_PORTS = 65536
-_PUBLIC_KEY_HEX = 64
-_HEX = frozenset('0123456789abcdef')
+_PORT_LIMIT = 65536
+_PUBLIC_KEY_HEX_DIGITS = 64
+_HEX_DIGITS = frozenset('0123456789abcdef')
 
 
 class LogLevel(Enum):
-    """Name the least level of the log lines written."""
+    """List the minimum levels of log lines."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -31,18 +31,18 @@
 
 
 class Setting(msgspec.Struct, frozen=True, kw_only=True):
-    """Mark a group of settings."""
+    """Serve as the base class of all groups of settings."""
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Hold an IP number and a TCP port (0: chosen by the system)."""
+    """Hold an IP address and a TCP port (0: chosen by the kernel)."""
 
     host: str
     port: int
 
     @property
     def is_loopback(self) -> bool:
-        """Tell whether only this machine can reach the address."""
+        """Return whether the address is reachable only from this host."""
         return ip_address(self.host).is_loopback
 
     def __str__(self) -> str:
@@ -52,10 +52,10 @@
 
 
 class Listen(Setting, forbid_unknown_fields=True, frozen=True):
-    """Give the listen addresses, each ``ip:port``.
+    """Hold the listen addresses, each ``ip:port``.
 
-    ``callers`` is for a router only; ``operators`` serves health, metrics
-    and queries; ``peers`` serves the system's own processes.
+    ``callers`` applies to routers only; ``operators`` serves health checks,
+    metrics and queries; ``peers`` serves other processes of the system.
     """
 
     peers: str = '127.0.0.1:0'
@@ -64,7 +64,7 @@
 
 
 class TlsFiles(Setting, forbid_unknown_fields=True, frozen=True):
-    """Give the paths of certificate, key and authority, PEM."""
+    """Hold the paths of the PEM files: certificate, key and authority."""
 
     certificate: str
     key: str
@@ -72,11 +72,12 @@
 
 
 class WorkerSettings(Setting, forbid_unknown_fields=True, frozen=True):
-    """Tell an agent of its worker: base URL and service.
+    """Describe the worker of an agent: base URL and service.
 
-    ``concurrency`` is the number of requests that the worker runs at once;
-    more wait at the agent, where teams get their shares. ``kv_store`` is
-    the base URL of a store of kept KV cache, '' for none.
+    ``concurrency`` is the number of requests that the worker runs
+    concurrently; further requests are queued at the agent, which schedules
+    them by the teams' shares. ``kv_store`` is the base URL of a KV cache
+    store, '' for none.
     """
 
     url: str
@@ -86,12 +87,13 @@
 
 
 class PeerSettings(Setting, forbid_unknown_fields=True, frozen=True):
-    """Set the pace at which processes exchange news; all in seconds.
+    """Configure the gossip between processes; times in seconds.
 
-    ``exchange_s``: mean time between two exchanges that a process begins.
-    ``probe_s``: a peer that takes longer to answer is tried through others.
-    ``suspect_s``: a suspect that does not contradict for so long is dead.
-    ``vm_list_s``: mean time between two reads of the platform's VM list.
+    ``exchange_s``: mean interval of the exchanges that a process initiates.
+    ``probe_s``: a peer that takes longer to respond is probed through other
+    peers.
+    ``suspect_s``: a suspect that has not refuted within this time is dead.
+    ``vm_list_s``: mean interval of reads of the platform's VM list.
     ``readers``: processes in each region that read from the platform.
     """
 
@@ -103,14 +105,15 @@
 
 
 class PlacementSettings(Setting, forbid_unknown_fields=True, frozen=True):
-    """Set whether and how the agents of a service place its models.
-
-    ``enabled``: this agent takes part; all of a service should alike.
-    ``lease_s``: duration of the leases of planners and of order-givers;
-    ``margin_s``: how much longer another process waits.
-    ``report_s``: mean time between an agent's reports of its demand.
-    ``shrink_after_s``: a copy that could be spared for so long is removed,
-    and after it one more each ``shrink_step_s``.
+    """Configure how the agents of a service place its models.
+
+    ``enabled``: whether this agent takes part in placement; use the same
+    value for all agents of a service.
+    ``lease_s``: duration of the leases of planners and of the processes that
+    send orders; ``margin_s``: additional time that other processes wait.
+    ``report_s``: mean interval of an agent's demand reports.
+    ``shrink_after_s``: a copy that has not been needed for this time is
+    removed, and then one more every ``shrink_step_s``.
     """
 
     enabled: bool = False
@@ -125,10 +128,12 @@
     """Hold all settings of one daemon.
 
     ``platform`` is the base URL of the platform's API, '' for none;
-    ``seeds`` are the ``ip:port`` of agents known from the start;
-    ``allow_plain`` permits listening off loopback without TLS;
-    ``drain_s`` bounds the seconds that open requests get after SIGTERM;
-    every bundle is traced back to ``root_operators``, see docs/reference.
+    ``seeds`` are the ``ip:port`` of agents to contact at the start;
+    ``allow_plain`` permits non-loopback listeners without TLS;
+    ``drain_s`` is the maximum time in seconds for open requests to complete
+    after SIGTERM;
+    the sign-offs of every bundle must lead back to ``root_operators``, see
+    docs/reference.
     """
 
     role: Role
@@ -149,19 +154,19 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``ip:port`` or ``[ip]:port``; raise SettingsError otherwise."""
+    """Parse ``ip:port`` or ``[ip]:port``; raise SettingsError if invalid."""
     host, colon, port = text.rpartition(':')
     host = host.strip('[]')
-    if not colon or not port.isdecimal() or int(port) >= _PORTS:
-        raise _not_an_address(text)
+    if not colon or not port.isdecimal() or int(port) >= _PORT_LIMIT:
+        raise _invalid_address(text)
     try:
         ip_address(host)
     except ValueError as error:
-        raise _not_an_address(text) from error
+        raise _invalid_address(text) from error
     return Address(host, int(port))
 
 
-def _not_an_address(text: str) -> SettingsError:
+def _invalid_address(text: str) -> SettingsError:
     return SettingsError(
         'expected an IP number and a port such as 127.0.0.1:7400,'
         f' got {text!r}'
@@ -169,7 +174,7 @@
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Read settings from JSON; raise SettingsError naming the field."""
+    """Parse JSON settings; raise SettingsError naming an invalid field."""
     try:
         settings = msgspec.json.decode(text, type=Settings)
     except msgspec.DecodeError as error:
@@ -179,7 +184,7 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """Read settings from a file; raise SettingsError naming the field."""
+    """Read a settings file; raise SettingsError naming an invalid field."""
     try:
         text = path.read_bytes()
     except OSError as error:
@@ -207,12 +212,12 @@
 
 
 def _check_names(settings: Settings) -> None:
-    named = [
+    required = [
         ('$.process_id', settings.process_id),
         ('$.place.region', settings.place.region),
         ('$.place.availability_zone', settings.place.availability_zone),
     ]
-    for field, text in named:
+    for field, text in required:
         if not text:
             raise SettingsError(f"expected a name, got '' - at `{field}`")
 
@@ -230,7 +235,7 @@
         if settings.tls is not None or settings.allow_plain:
             continue
         raise SettingsError(
-            f'expected TLS for {address}, which other machines can reach:'
+            f'expected TLS for {address}, which other hosts can reach:'
             ' set `$.tls`, listen on loopback, or set `$.allow_plain` to'
             f' true - at `{field}`'
         )
@@ -255,7 +260,7 @@
 
 
 def _is_public_key(text: str) -> bool:
-    return len(text) == _PUBLIC_KEY_HEX and _HEX.issuperset(text)
+    return len(text) == _PUBLIC_KEY_HEX_DIGITS and _HEX_DIGITS.issuperset(text)
 
 
 def _check_peers(peers: PeerSettings) -> None:
@@ -281,8 +286,8 @@
 
 
 def _check_bundle_file(settings: Settings) -> None:
-    # A bundle from a file has no sign-off. In a fleet it would pass round
-    # the operators' two pairs of eyes at one process.
+    # A bundle from a file has no sign-off. In a fleet it would bypass the
+    # review by two operators at one process.
     if not settings.bundle_file or settings.allow_plain:
         return
     for text in (settings.listen.peers, settings.listen.callers):
@@ -290,9 +295,9 @@
         if address.is_loopback:
             continue
         raise SettingsError(
-            'expected a signed bundle from the platform or peers where other'
-            f' machines reach {address}; a file is for development: leave'
-            ' it out, or set `$.allow_plain` to true - at `$.bundle_file`'
+            'expected a signed bundle from the platform or peers because other'
+            f' hosts can reach {address}; a file is for development only:'
+            ' remove it, or set `$.allow_plain` to true - at `$.bundle_file`'
         )
 
 
@@ -301,7 +306,7 @@
         return
     if settings.worker is None:
         raise SettingsError(
-            'expected the worker of this agent: give its url and service'
+            'expected the worker of this agent: set its url and service'
             ' - at `$.worker`'
         )
     _check_url('$.worker.url', settings.worker.url)
--- a/packages/common/src/lacewing_common/status.py
+++ b/packages/common/src/lacewing_common/status.py
@@ -1,4 +1,4 @@
-"""Describe what a process answers on ``/status``."""
+"""Define the response of a process to ``/status``."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class Addresses(msgspec.Struct, frozen=True):
-    """Hold the ``ip:port`` of each listener; '' where there is none."""
+    """Hold the ``ip:port`` of each listener; '' if there is none."""
 
     peers: str = ''
     callers: str = ''
@@ -15,7 +15,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """Count the members that a process knows, itself among them."""
+    """Count the known members by state, including the process itself."""
 
     alive: int = 0
     suspect: int = 0
@@ -24,9 +24,9 @@
 
 
 class ProcessStatus(msgspec.Struct, frozen=True):
-    """Report one process.
+    """Hold the status of one process.
 
-    ``epoch`` names the run of an agent's worker, '' on a router.
+    ``epoch`` identifies the run of an agent's worker, '' on a router.
     ``bundle_number`` is 0 before the first bundle.
     """
 
--- a/packages/common/src/lacewing_common/store.py
+++ b/packages/common/src/lacewing_common/store.py
@@ -1,4 +1,4 @@
-"""Describe the platform's object API as the system uses it."""
+"""Define the interface of the platform's object API."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -9,14 +9,15 @@
 
 
 class StoreFault(Enum):
-    """Tell why a call to the platform failed.
-
-    CONFLICT, NOT_FOUND, RATE_LIMITED, TOO_LARGE and REJECTED: surely
-    without effect. REJECTED: the platform did not understand the call.
-    UNAVAILABLE: a read failed, or a write never reached the platform or was
-    refused in an outage; without effect.
-    UNKNOWN: the answer was lost; the change may have taken effect, so the
-    caller reads back before it decides.
+    """List the reasons why a call to the platform fails.
+
+    CONFLICT, NOT_FOUND, RATE_LIMITED, TOO_LARGE and REJECTED: guaranteed
+    to have had no effect. REJECTED: the platform considers the request
+    invalid.
+    UNAVAILABLE: a read failed, or a write did not reach the platform or was
+    refused during an outage; no effect.
+    UNKNOWN: the response was lost and the change may have taken effect; the
+    caller must read the object back before deciding.
     """
 
     CONFLICT = 'conflict'
@@ -30,11 +31,12 @@
 
 @dataclass(frozen=True)
 class StoreError:
-    """Report a failed call and what the reader can do about it.
+    """Report a failed call and how to handle it.
 
-    ``retry_after_s`` is the platform's advice in seconds, if it gave any.
-    ``received``: bytes of an answer that was given up in its middle.
-    ``era`` is the store's when it answered, 0 if it told none.
+    ``retry_after_s`` is the delay in seconds that the platform requested,
+    None if it requested none.
+    ``received`` is the number of bytes of an incomplete response.
+    ``era`` is the store era of the response, 0 if it carried none.
     """
 
     fault: StoreFault
@@ -46,10 +48,11 @@
 
 @dataclass(frozen=True)
 class StoredObject:
-    """Hold one object; ``version`` grows with each change, from 1.
+    """Hold one object; ``version`` starts at 1 and grows with each change.
 
-    A store that returns from an older copy begins a new ``era``, in which
-    versions go back and are given out again; 0 if it told none.
+    A store that is restored from an older snapshot starts a new ``era``, in
+    which versions go back and are reused. ``era`` is 0 if the store reported
+    none.
     """
 
     kind: str
@@ -60,7 +63,7 @@
 
 
 class VmState(Enum):
-    """Tell whether the platform keeps a VM."""
+    """List the states of a VM: it is kept, or about to be removed."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True)
 class Vm:
-    """Hold one row of the platform's lagging VM list."""
+    """Hold one row of the platform's VM list, which lags behind."""
 
     vm_id: str
     address: str
@@ -77,7 +80,7 @@
 
 
 class SingleObjects(Protocol):
-    """Read one object and change it on condition; all that a lease needs."""
+    """Read and conditionally update single objects, as leases require."""
 
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
         """Read one object."""
@@ -85,11 +88,11 @@
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
-        """Write if the version is ``expect`` (0: must not exist)."""
+        """Write if the current version is ``expect`` (0: must not exist)."""
 
 
 class ObjectReads(Protocol):
-    """Query the platform's objects."""
+    """Read objects and the VM list from the platform."""
 
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
         """Read one object."""
@@ -97,30 +100,30 @@
     async def list_names(
         self, kind: str
     ) -> tuple[StoredObject, ...] | StoreError:
-        """Read all objects of a kind, without their values."""
+        """List all objects of a kind, without their values."""
 
     def watch(
         self, kind: str, name: str, after: int
     ) -> AsyncIterator[StoredObject | StoreError]:
-        """Yield each change of one object after a version."""
+        """Yield each change of one object after version ``after``."""
 
     async def vms(self) -> tuple[Vm, ...] | StoreError:
-        """Read the lagging VM list."""
+        """Read the VM list, which lags behind."""
 
 
 class ObjectWrites(Protocol):
-    """Change the platform's objects, only by conditional updates."""
+    """Change objects of the platform by conditional updates only."""
 
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
-        """Write if the version is ``expect`` (0: must not exist)."""
+        """Write if the current version is ``expect`` (0: must not exist)."""
 
     async def delete(
         self, kind: str, name: str, expect: int
     ) -> None | StoreError:
-        """Delete if the version is ``expect``."""
+        """Delete if the current version is ``expect``."""
 
 
 class ObjectStore(ObjectReads, ObjectWrites, Protocol):
-    """Read and change the platform's objects."""
+    """Read and change objects of the platform."""
--- a/packages/common/src/lacewing_common/tls.py
+++ b/packages/common/src/lacewing_common/tls.py
@@ -1,8 +1,9 @@
-"""Build the TLS contexts of listeners and of links between processes.
+"""Create the TLS contexts of listeners and of links between processes.
 
-The authority named in the settings signs only the system's own processes
-and its operators. A peer is known by that signature and not by its address:
-VMs are replaced at any time and their addresses are used again.
+The authority in the settings signs certificates only for processes of the
+system and for its operators. Peers are authenticated by that signature, not
+by their address, because VMs are replaced at any time and addresses are
+reused.
 """
 
 from asyncio.sslproto import SSLProtocol
@@ -26,11 +27,11 @@
 
 
 class ClientCertificate(Enum):
-    """Tell whether a listener asks its clients for a certificate.
+    """List how listeners treat client certificates.
 
-    PEERS: always, for the system's own processes (gRPC over HTTP/2).
-    OPERATORS: when they have one; queries are open, commands ask for it.
-    CALLERS: never; callers are known by their team keys.
+    PEERS: required, for processes of the system (gRPC over HTTP/2).
+    OPERATORS: optional; commands require one, queries do not.
+    CALLERS: not requested; callers are authenticated by their team keys.
     """
 
     PEERS = 'peers'
@@ -38,7 +39,7 @@
     CALLERS = 'callers'
 
 
-_MODES: dict[ClientCertificate, VerifyMode] = {
+_VERIFY_MODES: dict[ClientCertificate, VerifyMode] = {
     ClientCertificate.PEERS: CERT_REQUIRED,
     ClientCertificate.OPERATORS: CERT_OPTIONAL,
     ClientCertificate.CALLERS: CERT_NONE,
@@ -48,47 +49,47 @@
 def server_context(
     settings: Settings, clients: ClientCertificate
 ) -> SSLContext | None:
-    """Build a listener's context; None when TLS is not set up."""
+    """Return the context of a listener; None if TLS is not configured."""
     if settings.tls is None:
         return None
     context = create_default_context(Purpose.CLIENT_AUTH)
     context.minimum_version = TLSVersion.TLSv1_2
-    _load(context, settings.tls)
-    context.verify_mode = _MODES[clients]
+    _load_files(context, settings.tls)
+    context.verify_mode = _VERIFY_MODES[clients]
     if clients is ClientCertificate.PEERS:
         context.set_alpn_protocols(_HTTP2)
     return context
 
 
 def client_context(settings: Settings) -> SSLContext | None:
-    """Build the context of links to peers; None when TLS is not set up."""
+    """Return the context of links to peers; None without TLS."""
     if settings.tls is None:
         return None
     context = create_default_context(Purpose.SERVER_AUTH)
     context.minimum_version = TLSVersion.TLSv1_2
     context.check_hostname = False
-    _load(context, settings.tls)
+    _load_files(context, settings.tls)
     context.set_alpn_protocols(_HTTP2)
     return context
 
 
 def limit_tls_buffers() -> None:
-    """Keep asyncio's read buffer of a TLS connection to one record.
+    """Limit asyncio's read buffer of a TLS connection to one record.
 
-    It would be 256 KiB for each connection of this process, in use or not:
-    one would see a router with 890 links grow by 310 MB. TLS records are
-    16 KiB at most, so a smaller buffer costs no further reads.
+    The default is 256 KiB for each connection, idle or not, which increased
+    the memory of a router with 890 links by 310 MB. TLS records have at most
+    16 KiB, so the smaller buffer causes no additional reads.
     """
     SSLProtocol.max_size = _TLS_RECORD_BYTES
 
 
 def check_tls_files(files: TlsFiles) -> None:
-    """Load the files once; raise SettingsError naming the wrong one."""
+    """Load the files; raise SettingsError naming an invalid one."""
     context = create_default_context(Purpose.CLIENT_AUTH)
-    _load(context, files)
+    _load_files(context, files)
 
 
-def _load(context: SSLContext, files: TlsFiles) -> None:
+def _load_files(context: SSLContext, files: TlsFiles) -> None:
     try:
         context.load_cert_chain(files.certificate, files.key)
     except (OSError, SSLError) as error:
--- a/packages/common/src/lacewing_common/verdict.py
+++ b/packages/common/src/lacewing_common/verdict.py
@@ -1,7 +1,7 @@
-"""Say whether a request may have run.
+"""Describe whether a failed request may have run.
 
-Functions that can fail return ``T | Refusal`` in place of raising, so that
-the verdict reaches the caller unchanged through every layer.
+Functions that can fail return ``T | Refusal`` instead of raising, so that
+every layer passes the verdict on to the caller unchanged.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Verdict(Enum):
-    """Tell what is known about the execution of one request."""
+    """List what can be known about the execution of a request."""
 
     NOT_RUN = 'not-run'
     MAY_HAVE_RUN = 'may-have-run'
@@ -17,7 +17,7 @@
 
 
 class Reason(Enum):
-    """Name the cause of a refusal; the value is the error code on the API."""
+    """List the reasons for refusals; the value is the API error code."""
 
     BAD_REQUEST = 'bad_request'
     TOO_LARGE = 'request_too_large'
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """Refuse a request with a verdict, a reason and a text for the reader.
+    """Hold the verdict, reason and human-readable message of a refusal.
 
-    ``retry_after_s`` is in seconds; None means that a retry won't help.
+    ``retry_after_s`` is in seconds; None means that a retry will not help.
     """
 
     verdict: Verdict
@@ -70,10 +70,10 @@
 def not_run(
     reason: Reason, message: str, retry_after_s: float | None = None
 ) -> Refusal:
-    """Build a refusal of a request that surely did not run."""
+    """Return a refusal of a request that certainly did not run."""
     return Refusal(Verdict.NOT_RUN, reason, message, retry_after_s)
 
 
 def may_have_run(reason: Reason, message: str) -> Refusal:
-    """Build a refusal of a request whose execution is unknown."""
+    """Return a refusal of a request that may have run."""
     return Refusal(Verdict.MAY_HAVE_RUN, reason, message)
--- a/packages/common/src/lacewing_common/wait_event.py
+++ b/packages/common/src/lacewing_common/wait_event.py
@@ -1,14 +1,14 @@
-"""Wait for an event for a bounded time, so that a cancel always counts."""
+"""Wait for an event with a timeout without losing a cancellation."""
 
 import asyncio
 
 
 async def wait_event(event: asyncio.Event, seconds: float) -> bool:
-    """Wait until an event is set; false when the time was over first.
+    """Wait until an event is set; return false on a timeout.
 
-    ``asyncio.wait_for`` of Python 3.11 drops a cancel that comes as the
-    event is set. The task then goes on for ever, and whoever closes it
-    hangs: it would show as a process that does not end after SIGTERM.
+    ``asyncio.wait_for`` of Python 3.11 loses a cancellation that coincides
+    with the event being set. The task then never ends and closing it hangs:
+    the process does not terminate after SIGTERM.
     """
     try:
         async with asyncio.timeout(seconds):
--- a/packages/common/src/lacewing_common/wire.py
+++ b/packages/common/src/lacewing_common/wire.py
@@ -1,9 +1,9 @@
 """Define the messages between routers and agents.
 
 A router keeps one stream open to an agent and sends ``RouterFrame``s; the
-agent answers with ``AgentFrame``s. Many attempts share the stream. The
-messages are msgspec structs, the kin of frozen dataclasses that can be told
-apart by a tag on the wire.
+agent responds with ``AgentFrame``s. Many attempts share the stream. The
+messages are frozen msgspec structs that are distinguished by a tag on the
+wire.
 """
 
 from typing import TypeAlias
@@ -18,21 +18,22 @@
 from lacewing_common.wire_limits import TeamAllotment
 from lacewing_common.wire_limits import TeamDemand
 
-# An agent sends at most so many bytes of an answer beyond the last Ack.
-# Without a bound a caller that reads slowly would fill the router's memory.
+# Maximum number of bytes of an answer that an agent sends beyond the last Ack.
+# Without a limit, a caller that reads slowly would fill the router's memory.
 ANSWER_WINDOW_BYTES = 256 * 1024
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Mark a struct as a wire message."""
+    """Serve as the base class of all wire messages."""
 
 
 class AttemptId(msgspec.Struct, frozen=True, array_like=True):
-    """Name one attempt to run a request on one agent.
+    """Identify one attempt to run a request on one agent.
 
-    ``router`` is the router's name with its incarnation; ``sequence`` grows
-    by one with each attempt of that incarnation; ``agent_incarnation`` is
-    the run of the agent that the attempt was meant for.
+    ``router`` is the router's name with its incarnation; ``sequence``
+    increases by one with each attempt of that incarnation;
+    ``agent_incarnation`` is the incarnation of the agent to which the
+    attempt is addressed.
     """
 
     router: str
@@ -47,10 +48,10 @@
     """Report a worker's load as its agent sees it.
 
     ``queued`` and ``running`` count requests; ``backlog_ms`` is the expected
-    milliseconds before a new request starts; ``age_ms`` is the age of the
-    engine's own figures when the report was made. ``slots`` is how many
-    requests run at once (0: not known), ``turn_ms`` the expected
-    milliseconds from one slot coming free to the next.
+    time in milliseconds until a new request starts; ``age_ms`` is the age of
+    the engine's figures when the report was created. ``slots`` is the
+    maximum number of concurrent requests (0: unknown), ``turn_ms`` the
+    expected milliseconds between two slots becoming free.
     """
 
     queued: int = 0
@@ -62,13 +63,13 @@
 
 
 class CacheReport(msgspec.Struct, frozen=True, array_like=True):
-    """Report what an engine truly reused for one request.
+    """Report what an engine actually reused for one request.
 
-    ``epoch`` names the engine's run, ``hit_blocks`` the blocks reused out of
-    ``prompt_blocks``; ``width`` is the number of workers over which the
-    agent asks routers to spread the outermost level (1: keep it here).
-    ``kept_blocks`` leading blocks are in the store of kept KV cache, from
-    which an import takes ``import_ms`` milliseconds a block.
+    ``epoch`` identifies the engine's run, ``hit_blocks`` is the number of
+    reused blocks out of ``prompt_blocks``; ``width`` is the number of
+    workers over which the agent asks routers to spread the outermost level
+    (1: keep it here). The first ``kept_blocks`` blocks are in the KV cache
+    store, from which an import takes ``import_ms`` milliseconds per block.
     """
 
     epoch: str = ''
@@ -82,8 +83,8 @@
 class Hello(Message, frozen=True, tag='hello'):
     """Open a link from a router.
 
-    ``knowledge_bytes_s`` is what the router can take on this link of
-    ``Knowledge`` in bytes a second; 0: none.
+    ``knowledge_bytes_s`` is the rate of ``Knowledge`` messages, in bytes per
+    second, that the router accepts on this link; 0: none.
     """
 
     name: ProcessName
@@ -95,16 +96,18 @@
 class Start(Message, frozen=True, tag='start'):
     """Ask an agent to run a request on its worker.
 
-    A router sends the Start of an attempt once; in doubt it asks. On that
-    rests an agent's "not run" to a Start meant for its earlier run.
+    A router sends the Start of an attempt only once and sends an Ask if the
+    outcome is uncertain. An agent relies on this when it reports "not run"
+    for a Start that is addressed to its earlier incarnation.
 
     ``budget_ms``: milliseconds left until the first token is due.
-    ``blocks``: the prompt's block hashes, 8 bytes each, joined.
-    ``levels``: block counts at which a nested level ends.
-    ``oldest_open``: the router's lowest sequence that it may still ask about.
+    ``blocks``: the prompt's block hashes, 8 bytes each, concatenated.
+    ``levels``: block counts at which the nested levels end.
+    ``oldest_open``: the lowest sequence of the router for which it may still
+    send an Ask.
     ``width``: the number of workers over which the router spreads the
-    prompt's outermost level. ``use_kept``: import what the store of kept
-    KV cache holds, keep there what comes again, and wait for a prefix that
+    prompt's outermost level. ``use_kept``: import available blocks from the
+    KV cache store, save blocks there that recur, and wait for a prefix that
     another request is computing.
     """
 
@@ -136,12 +139,12 @@
 
 
 class Ask(Message, frozen=True, tag='ask'):
-    """Ask what became of an attempt; resume its answer from ``offset``.
+    """Query the state of an attempt; resume its answer from ``offset``.
 
-    An agent that never saw the attempt closes its id for ever before it
-    replies, so that a late ``Start`` cannot run it. One that runs or ran it
-    replies Accepted, then Head, Data from ``offset`` on and End, as far as
-    there are any; an Ask on a link that was never broken does the same.
+    An agent that never received the attempt closes its id permanently before
+    it replies, so that a late ``Start`` can't run it. An agent that runs or
+    ran it replies Accepted, then Head, Data from ``offset`` and End, as far
+    as available; this also applies to an Ask on a link that never broke.
     """
 
     attempt: AttemptId
@@ -149,19 +152,19 @@
 
 
 class Cancel(Message, frozen=True, tag='cancel'):
-    """Stop an attempt whose caller has gone; there is no reply.
+    """Stop an attempt whose caller has disconnected; there is no reply.
 
-    One never seen is closed for ever. A call that is not idempotent and has
-    reached the worker goes on, and its outcome is kept.
+    An unknown attempt is closed permanently. A call that is not idempotent
+    and has reached the worker continues, and its outcome is stored.
     """
 
     attempt: AttemptId
 
 
 class Ack(Message, frozen=True, tag='ack'):
-    """Confirm the answer's bytes up to ``offset`` for flow control.
+    """Acknowledge the answer's bytes up to ``offset`` for flow control.
 
-    The last one, at the length that End gave, lets the agent forget the
+    The last Ack, at the length given in End, allows the agent to discard the
     answer.
     """
 
@@ -170,10 +173,10 @@
 
 
 class Welcome(Message, frozen=True, tag='welcome'):
-    """Answer a Hello with the agent and its worker.
+    """Respond to a Hello with the state of the agent and its worker.
 
-    ``models``: ``model:weights`` or, for each adapter of it,
-    ``model:weights:adapter@version``, as now loaded.
+    ``models``: loaded models as ``model:weights`` and loaded adapters as
+    ``model:weights:adapter@version``.
     """
 
     name: ProcessName
@@ -193,7 +196,7 @@
 
 
 class Refused(Message, frozen=True, tag='refused'):
-    """Refuse or fail an attempt with a verdict; the attempt has ended."""
+    """End an attempt that was refused or failed, with a verdict."""
 
     attempt: AttemptId
     verdict: Verdict
@@ -205,16 +208,16 @@
 
     @property
     def refusal(self) -> Refusal:
-        """Return the refusal that this message carries."""
+        """Return the refusal contained in this message."""
         return Refusal(
             self.verdict, self.reason, self.text, self.retry_after_s
         )
 
 
 class Head(Message, frozen=True, tag='head'):
-    """Start the answer: HTTP status and content type of the worker.
+    """Start the answer with the worker's HTTP status and content type.
 
-    ``replayed``: the answer was kept from an earlier attempt of the call.
+    ``replayed``: the answer was stored by an earlier attempt of the call.
     """
 
     attempt: AttemptId
@@ -224,9 +227,9 @@
 
 
 class Data(Message, frozen=True, tag='data'):
-    """Carry answer bytes; ``offset`` counts bytes before this payload.
+    """Transfer answer bytes; ``offset``: number of preceding bytes.
 
-    A payload of a stream ends at the end of a server-sent event.
+    The payload of a stream ends at the end of a server-sent event.
     """
 
     attempt: AttemptId
@@ -235,7 +238,7 @@
 
 
 class End(Message, frozen=True, tag='end'):
-    """End a whole answer of ``length`` bytes."""
+    """End a complete answer of ``length`` bytes."""
 
     attempt: AttemptId
     length: int
@@ -246,10 +249,10 @@
 
 
 class WorkerChanged(Message, frozen=True, tag='worker'):
-    """Tell routers of a worker's new epoch, models or leaving state.
+    """Report a worker's new epoch, models or leaving state to routers.
 
-    An empty ``epoch``, here or in Welcome, says that the worker does not
-    answer its agent.
+    An empty ``epoch``, here or in Welcome, means that the worker does not
+    respond to its agent.
     """
 
     epoch: str
@@ -259,10 +262,10 @@
 
 
 class Knowledge(Message, frozen=True, tag='knowledge'):
-    """Tell a router, unasked, of load and cache, within its allowance.
+    """Push load and cache updates to a router, within its rate limit.
 
-    ``stored`` and ``evicted`` are joined hashes, 8 bytes each, of the last
-    blocks of levels that several requests shared.
+    ``stored`` and ``evicted`` are concatenated hashes, 8 bytes each, of the
+    last blocks of levels that several requests shared.
     """
 
     load: LoadReport
@@ -272,13 +275,13 @@
 
 
 class Demands(Message, frozen=True, tag='demands'):
-    """Report teams' demand to the agent that shares out their limits."""
+    """Report teams' demand to the agent that divides their limits."""
 
     teams: tuple[TeamDemand, ...]
 
 
 class Allotments(Message, frozen=True, tag='allotments'):
-    """Answer Demands with this router's part; ``routers`` counts all."""
+    """Return this router's part of limits; ``routers`` counts all."""
 
     teams: tuple[TeamAllotment, ...]
     routers: int
@@ -299,10 +302,10 @@
 
 
 class Batch(Message, frozen=True, tag='batch'):
-    """Carry the frames that waited together for one link, in order.
+    """Combine the frames that are queued for one link, in order.
 
-    An engine's step brings a token to each of its streams at once; one
-    message for all of them spares most of the cost of a message.
+    Each step of an engine produces a token for all of its streams at the
+    same time; a single message avoids most of the cost per message.
     """
 
     frames: tuple[AgentFrame, ...]
--- a/packages/common/src/lacewing_common/wire_limits.py
+++ b/packages/common/src/lacewing_common/wire_limits.py
@@ -1,13 +1,13 @@
-"""Define the messages that share a team's limits between routers."""
+"""Define the messages that divide a team's limits among routers."""
 
 import msgspec
 
 
 class TeamDemand(msgspec.Struct, frozen=True, array_like=True):
-    """Report what a team asked of one router, admitted or not.
+    """Report a team's demand at one router, admitted or not.
 
-    ``requests_s`` and ``tokens_s`` are rates a second; ``concurrency``
-    counts requests open or refused for want of a slot.
+    ``requests_s`` and ``tokens_s`` are rates per second; ``concurrency``
+    counts requests that are open or were refused because no slot was free.
     """
 
     team: str
@@ -17,10 +17,11 @@
 
 
 class TeamAllotment(msgspec.Struct, frozen=True, array_like=True):
-    """Give one router its part of a team's limits.
+    """Hold one router's part of a team's limits.
 
-    A field of 0 means that the team has no such limit. ``valid_s`` is how
-    long the part may be used, ``report_s`` when to report next, in seconds.
+    A field of 0 means that the team has no such limit. ``valid_s`` is the
+    time for which the part is valid and ``report_s`` the time until the next
+    report, in seconds.
     """
 
     team: str
--- a/packages/common/src/lacewing_common/wire_peers.py
+++ b/packages/common/src/lacewing_common/wire_peers.py
@@ -1,9 +1,9 @@
-"""Define the messages by which all processes tell each other the news.
+"""Define the gossip messages between all processes.
 
-Each process calls one other about once a second; both sides say what
-changed of late and prove by hashes what they hold. A message's size does
-not depend on the size of the fleet; what the hashes show to differ is
-pulled with calls of its own.
+Each process calls another one about once a second; both sides send recent
+changes and compare their state by hashes. The size of a message does not
+depend on the size of the fleet; state whose hashes differ is fetched with
+separate calls.
 """
 
 from enum import IntEnum
@@ -21,10 +21,10 @@
 
 
 class Liveness(IntEnum):
-    """Tell what is thought of a process; a higher one overrides a lower.
+    """List the states of a process; a higher value overrides a lower one.
 
-    It does so for the same incarnation and revision only: the process
-    itself refutes a suspicion with a higher revision.
+    This applies only to the same incarnation and revision: a process refutes
+    a suspicion with a higher revision.
     """
 
     ALIVE = 0
@@ -33,15 +33,15 @@
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Mark a struct as a message between peers."""
+    """Serve as the base class of all messages between peers."""
 
 
 class MemberRecord(PeerMessage, frozen=True):
-    """Describe one process as far as the fleet knows it.
+    """Describe one process of the fleet.
 
-    ``incarnation`` names the run; within it only the process itself raises
-    ``revision``, to refute a suspicion or to say that it is leaving.
-    ``address`` is the ``ip:port`` of its listener for peers.
+    ``incarnation`` identifies the run; only the process itself increases
+    ``revision`` within it, to refute a suspicion or to announce that it is
+    leaving. ``address`` is the ``ip:port`` of its listener for peers.
     """
 
     process_id: str
@@ -57,15 +57,15 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Return a key that grows with how recent the record is."""
+        """Return a sort key; later records have higher keys."""
         return (self.incarnation, self.revision, self.liveness.value)
 
 
 class VmNote(PeerMessage, frozen=True):
-    """Pass on what the platform's VM list says of one address.
+    """Hold the state of one address in the platform's VM list.
 
-    ``seen_ms`` is the reader's time, in milliseconds since 1970, when the
-    list first said so; the latest note wins.
+    ``seen_ms`` is the time at which the reader first saw that state, by its
+    clock, in milliseconds since 1970; the latest note wins.
     """
 
     address: str
@@ -74,18 +74,18 @@
 
 
 class HeadNote(PeerMessage, frozen=True):
-    """Tell the version that a process holds of one document."""
+    """Report the version of a document that a process stores."""
 
     document: DocumentName
     version: int
 
 
 class Exchange(PeerMessage, frozen=True):
-    """Tell a peer the news; its reply is of the same form.
+    """Send recent changes to a peer; the reply has the same form.
 
-    ``sender`` is None while the process does not listen yet. ``heads`` in a
-    call are those that changed of late; in a reply all, if the hashes of
-    the heads differ, else none.
+    ``sender`` is None while the process is not listening yet. ``heads`` of a
+    call are those that changed recently; those of a reply are all heads if
+    the hashes of the heads differ, otherwise none.
     """
 
     sender: MemberRecord | None
@@ -97,46 +97,47 @@
 
 
 class Probe(PeerMessage, frozen=True):
-    """Ask a peer to try an address that did not answer the caller."""
+    """Ask a peer to probe an address that did not respond to the caller."""
 
     address: str
 
 
 class ProbeReply(PeerMessage, frozen=True):
-    """Tell whether the address answered."""
+    """Report whether the address responded."""
 
     answered: bool
 
 
 class TableQuery(PeerMessage, frozen=True):
-    """Ask for records of the parts of the member table that differ.
+    """Request the records of differing parts of the member table.
 
-    The table is cut into parts by process id; ``hashes`` holds one for
-    each part, in order, as the caller has it.
+    The table is partitioned by process id; ``hashes`` contains the caller's
+    hash of each part, in order.
     """
 
     hashes: tuple[int, ...]
 
 
 class TableReply(PeerMessage, frozen=True):
-    """Give records of differing parts, so many as one reply may hold."""
+    """Return records of differing parts, up to the size limit of a reply."""
 
     records: tuple[MemberRecord, ...]
     vm_notes: tuple[VmNote, ...]
 
 
 class Fetch(PeerMessage, frozen=True):
-    """Ask for the head of a document and some of its parts."""
+    """Request the head of a document and some of its parts."""
 
     document: DocumentName
     digests: tuple[str, ...] = ()
 
 
 class Fetched(PeerMessage, frozen=True):
-    """Give a head and the first of the parts asked for.
+    """Return a head and the first of the requested parts.
 
-    ``head`` is None when the document is not held. At least one part comes
-    if one asked for is held; the caller asks again for the rest.
+    ``head`` is None if the document is not stored. The reply contains at
+    least one part if a requested one is stored; the caller requests the
+    remaining parts again.
     """
 
     head: DocumentHead | None
