--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,13 +1,13 @@
-Feature: The daemon checks its settings before it starts
-  A wrong field is named, with what was expected, and nothing is started.
+Feature: The daemon validates its settings before it starts
+  An error names the invalid field and the expected value; nothing is started.
 
-  Scenario Outline: --check names the wrong field
+  Scenario Outline: --check names the invalid field
     Given settings of a router
     And the field "<field>" is set to <value>
     When lacewingd checks the settings
     Then it exits with code 2
-    And it says "<named>"
-    And it says "<expected>"
+    And the output contains "<named>"
+    And the output contains "<expected>"
 
     Examples:
       | field           | value              | named               | expected              |
@@ -27,33 +27,33 @@
       | root_operators  | [{"name": "", "public_key": ""}]      | $.root_operators[0].name       | a name of its own    |
       | role            | "agent"            | $.worker            | url and service       |
 
-  Scenario: --check accepts settings that are right
+  Scenario: --check accepts valid settings
     Given settings of a router
     When lacewingd checks the settings
     Then it exits with code 0
-    And it says "settings are valid"
+    And the output contains "settings are valid"
 
-  Scenario: --check names the wrong field of the bundle
+  Scenario: --check names the invalid field of the bundle
     Given settings of a router
     And a bundle file with {"teams": [{"name": "brno", "key": "x"}]}
     When lacewingd checks the settings
     Then it exits with code 2
-    And it says "$.teams[0]"
+    And the output contains "$.teams[0]"
 
   Scenario: A missing settings file is named
     When lacewingd checks the settings file "absent.json"
     Then it exits with code 2
-    And it says "absent.json"
+    And the output contains "absent.json"
 
-  Scenario: A listener that other machines reach needs TLS
+  Scenario: A listener that other hosts can reach requires TLS
     Given settings of a router
     And the field "listen.callers" is set to "0.0.0.0:0"
     When lacewingd checks the settings
     Then it exits with code 2
-    And it says "$.listen.callers"
-    And it says "expected TLS"
+    And the output contains "$.listen.callers"
+    And the output contains "expected TLS"
 
-  Scenario: A listener that other machines reach may be plain if told so
+  Scenario: A listener that other hosts can reach may omit TLS if allowed
     Given settings of a router
     And the field "listen.callers" is set to "0.0.0.0:0"
     And the field "allow_plain" is set to true
@@ -65,4 +65,4 @@
     And the field "tls" is set to {"certificate": "c", "key": "k", "authority": "a"}
     When lacewingd checks the settings
     Then it exits with code 2
-    And it says "$.tls.certificate"
+    And the output contains "$.tls.certificate"
--- a/features/steps/platform_process_steps.py
+++ b/features/steps/platform_process_steps.py
@@ -1,4 +1,4 @@
-"""Use the stand-in over HTTP: VMs, weights, control, process."""
+"""Steps that use the simulator over HTTP and as a process."""
 
 import json
 import signal
@@ -12,23 +12,23 @@
 from behave.runner import Context
 from lacewing_common.store import Vm
 from lacewing_common.store import VmState
-from support.platform_bench import end_process
 from support.platform_bench import fetch
 from support.platform_bench import fetch_failure
 from support.platform_bench import fetch_status
-from support.platform_bench import load_at_once
-from support.platform_bench import PATIENCE_S
+from support.platform_bench import kill_process
+from support.platform_bench import load_concurrently
+from support.platform_bench import TIMEOUT_S
 
 
-@when('{seconds:d} s passes on the platform')
-def pass_time(context: Context, seconds: int) -> None:
-    """Move the stand-in's clock."""
+@when('the platform clock advances by {seconds:d} s')
+def advance_clock(context: Context, seconds: int) -> None:
+    """Advance the clock of the simulator."""
     context.bench.clock.now_s += seconds
 
 
-@when('a client without a condition writes "{path}"')
+@when('a client writes "{path}" without a precondition')
 def write_unconditioned(context: Context, path: str) -> None:
-    """Write without a condition."""
+    """Write without a precondition."""
     bench = context.bench
     bench.status = bench.runner.run(
         fetch_status(bench, f'/objects/{path}', 'PUT')
@@ -49,16 +49,16 @@
     context.bench.service.remove_vm(vm_id)
 
 
-@when('{count:d} workers load weights at once')
+@when('{count:d} workers load weights concurrently')
 def load_weights(context: Context, count: int) -> None:
-    """Load weights in parallel."""
+    """Load weights concurrently."""
     bench = context.bench
-    bench.runner.run(load_at_once(bench, count))
+    bench.runner.run(load_concurrently(bench, count))
 
 
-@when('the stand-in starts as a process with a settings file')
+@when('the simulator is started as a process with a settings file')
 def start_process(context: Context) -> None:
-    """Start the stand-in as a process; end it with the scenario."""
+    """Start the simulator as a process; kill it after the scenario."""
     directory = context.resources.enter_context(tempfile.TemporaryDirectory())
     config = Path(directory) / 'platform.json'
     config.write_text('{"name": "p1", "vm_lag_s": 0}')
@@ -67,13 +67,13 @@
         + ['--config', str(config)],
         stdout=subprocess.PIPE,
     )
-    context.resources.callback(end_process, process)
+    context.resources.callback(kill_process, process)
     context.process = process
 
 
-@then('it says where it listens')
-def says_address(context: Context) -> None:
-    """Read the line with the address."""
+@then('it prints its listen address')
+def check_address(context: Context) -> None:
+    """Read the line that contains the address."""
     line = json.loads(context.process.stdout.readline())
     address = line.pop('address')
     assert line == {'event': 'listening', 'name': 'p1', 'kind': 'platform'}
@@ -82,8 +82,8 @@
 
 
 @then('its faults, VMs and counts can be set and read over HTTP')
-def control(context: Context) -> None:
-    """Set and read over HTTP."""
+def check_control_api(context: Context) -> None:
+    """Use each resource of the control API."""
     url = context.url
     vm = {
         'vm_id': 'vm-1',
@@ -106,9 +106,9 @@
     assert fetch(f'{url}/counts')['calls'] == {}
 
 
-@then("wrong fault switches are refused with the field's name")
-def refuse_switches(context: Context) -> None:
-    """Send a switch that does not exist."""
+@then("unknown fault switches are rejected with the field's name")
+def check_unknown_switch(context: Context) -> None:
+    """Send an unknown switch."""
     status, text = fetch_failure(
         f'{context.url}/faults', 'POST', {'broken': 1}
     )
@@ -116,38 +116,38 @@
     assert '`broken`' in text, text
 
 
-@then('it ends with code 0 when told to stop')
+@then('it exits with code 0 on SIGTERM')
 def stop_process(context: Context) -> None:
-    """Send SIGTERM and read the exit code."""
+    """Send SIGTERM and check the exit code."""
     context.process.send_signal(signal.SIGTERM)
-    code = context.process.wait(PATIENCE_S)
+    code = context.process.wait(TIMEOUT_S)
     assert code == 0, code
 
 
-@then('the platform answers it with status {status:d}')
-def answers_status(context: Context, status: int) -> None:
+@then('the platform returns status {status:d}')
+def check_status(context: Context, status: int) -> None:
     """Compare the status."""
     assert context.bench.status == status, context.bench.status
 
 
-@then('the VM list shows nothing')
-def shows_no_vm(context: Context) -> None:
-    """Read the VM list through the store."""
+@then('the VM list is empty')
+def check_no_vm(context: Context) -> None:
+    """Compare the VM list read through the store."""
     bench = context.bench
     assert bench.runner.run(bench.store.vms()) == ()
 
 
 @then('the VM list shows "{vm_id}" as "{state}"')
-def shows_vm(context: Context, vm_id: str, state: str) -> None:
-    """Read the VM list through the store."""
+def check_vm(context: Context, vm_id: str, state: str) -> None:
+    """Compare the VM list read through the store."""
     bench = context.bench
     vms = bench.runner.run(bench.store.vms())
     expected = Vm(vm_id, '10.0.0.1', 'zone-a', VmState(state))
     assert vms == (expected,), vms
 
 
-@then('the platform counts {loads:d} weight loads, {peak:d} at once')
-def counts_loads(context: Context, loads: int, peak: int) -> None:
+@then('the platform counts {loads:d} weight loads, {peak:d} concurrent')
+def check_loads(context: Context, loads: int, peak: int) -> None:
     """Compare the counts of the weight store."""
     counts = context.bench.service.counts
     assert counts.weight_loads == loads, counts
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Run ``lacewingd --check`` on settings that a scenario changes."""
+"""Steps that run ``lacewingd --check`` on modified settings."""
 
 import json
 import subprocess
@@ -15,7 +15,7 @@
 
 @given('settings of a router')
 def given_router_settings(context: Context) -> None:
-    """Start from valid settings."""
+    """Create valid settings."""
     context.directory = Path(
         context.resources.enter_context(TemporaryDirectory())
     )
@@ -28,7 +28,7 @@
 
 @given('the field "{field}" is set to {value}')
 def given_field(context: Context, field: str, value: str) -> None:
-    """Change one field, named by its path."""
+    """Set one field, given by its path."""
     group: dict[str, Any] = context.settings
     *groups, last = field.split('.')
     for name in groups:
@@ -38,7 +38,7 @@
 
 @given('a bundle file with {text}')
 def given_bundle_file(context: Context, text: str) -> None:
-    """Write a bundle and name it in the settings."""
+    """Write a bundle file and refer to it in the settings."""
     path = context.directory / 'bundle.json'
     path.write_text(text)
     context.settings['bundle_file'] = str(path)
@@ -46,19 +46,19 @@
 
 @when('lacewingd checks the settings')
 def when_checked(context: Context) -> None:
-    """Write the settings and check them."""
+    """Write the settings file and check it."""
     path = context.directory / 'settings.json'
     path.write_text(json.dumps(context.settings))
-    _check(context, path)
+    _run_check(context, path)
 
 
 @when('lacewingd checks the settings file "{name}"')
 def when_file_checked(context: Context, name: str) -> None:
-    """Check a file by its name."""
-    _check(context, Path(name))
+    """Check the settings file at a path."""
+    _run_check(context, Path(name))
 
 
-def _check(context: Context, path: Path) -> None:
+def _run_check(context: Context, path: Path) -> None:
     command = [sys.executable, '-m', 'lacewing_daemon.main']
     context.ended = subprocess.run(
         [*command, '--settings', str(path), '--check'],
@@ -75,8 +75,8 @@
     assert ended.returncode == code, (ended.returncode, ended.stderr)
 
 
-@then('it says "{text}"')
-def then_says(context: Context, text: str) -> None:
+@then('the output contains "{text}"')
+def then_output_contains(context: Context, text: str) -> None:
     """Search standard output and standard error."""
-    said = context.ended.stdout + context.ended.stderr
-    assert text in said, said
+    output = context.ended.stdout + context.ended.stderr
+    assert text in output, output
--- a/features/support/platform_bench.py
+++ b/features/support/platform_bench.py
@@ -1,4 +1,4 @@
-"""Hold the platform, its clock and a store for the steps."""
+"""Provide the platform simulator, its clock and a store for steps."""
 
 import asyncio
 import json
@@ -28,14 +28,14 @@
 from lacewing_common.store import StoreFault
 from tornado.httpclient import AsyncHTTPClient
 
-PATIENCE_S = 20.0
-SHORT_S = 0.2
-POLL_S = 0.01
+TIMEOUT_S = 20.0
+SHORT_TIMEOUT_S = 0.2
+POLL_INTERVAL_S = 0.01
 Result = StoredObject | StoreError | None
 
 
-class StoppedClock:
-    """Tell a time that moves only when a step says so."""
+class ManualClock:
+    """Return a time that advances only when a step sets it."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -46,7 +46,7 @@
 
 
 class InterruptedStore:
-    """Let something happen after the first write and after some reads."""
+    """Call back after the first write and after a number of reads."""
 
     def __init__(
         self,
@@ -59,14 +59,14 @@
         self._after_write = after_write
         self._after_reads = after_reads
         self._reads_left = reads
-        self._wrote = False
+        self._has_written = False
         self.list_names = store.list_names
         self.watch = store.watch
         self.vms = store.vms
         self.delete = store.delete
 
     async def get(self, kind: str, name: str) -> StoredObject | StoreError:
-        """Read, then let something happen if it is the last of the reads."""
+        """Read, then call back if it is the last of the reads."""
         result = await self._store.get(kind, name)
         self._reads_left -= 1
         if self._reads_left == 0:
@@ -76,20 +76,20 @@
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
-        """Write, then let something happen if it is the first write."""
+        """Write, then call back if it is the first write."""
         result = await self._store.put(kind, name, value, expect)
-        if not self._wrote:
-            self._wrote = True
+        if not self._has_written:
+            self._has_written = True
             self._after_write()
         return result
 
 
 class Bench:
-    """Hold what a scenario works with."""
+    """Hold the state of a scenario."""
 
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
-        self.clock = StoppedClock()
+        self.clock = ManualClock()
         settings = PlatformSettings(
             weights=WeightSettings(load_s=0.05, loads_at_once=2)
         )
@@ -100,74 +100,76 @@
         self.result: Result = None
         self.status = 0
         self.losses: list[bool] = []
-        self.shown: asyncio.Queue[StoredObject | StoreError] = asyncio.Queue()
-        self.watch: Task[None] | None = None
-        self.writing: Task[Result] | None = None
+        self.changes: asyncio.Queue[StoredObject | StoreError] = (
+            asyncio.Queue()
+        )
+        self.watch_task: Task[None] | None = None
+        self.pending_write: Task[Result] | None = None
 
-    def set_faults(self, **changes: object) -> None:
+    def set_faults(self, **switches: object) -> None:
         """Replace all fault switches."""
-        self.service.set_faults(msgspec.convert(changes, FaultSwitches))
+        self.service.set_faults(msgspec.convert(switches, FaultSwitches))
 
     def create(self, path: str, value: bytes) -> None:
-        """Create an object and keep the result."""
+        """Create an object and store the result."""
         self.write(path, value, MUST_NOT_EXIST)
 
     def write(self, path: str, value: bytes, expect: int) -> None:
-        """Write an object and keep the result."""
+        """Write an object and store the result."""
         kind, name = split(path)
         self.result = self.runner.run(
             self.store.put(kind, name, value, expect)
         )
 
     def write_resolving(self, path: str, value: bytes, expect: int) -> None:
-        """Write an object, resolve a lost answer, keep the result."""
+        """Write an object, resolve a lost response, store the result."""
         kind, name = split(path)
         self.result = self.runner.run(
             put_with_resolution(self.store, kind, name, value, expect)
         )
 
     def read(self, path: str) -> None:
-        """Read an object and keep the result."""
+        """Read an object and store the result."""
         kind, name = split(path)
         self.result = self.runner.run(self.store.get(kind, name))
 
     def create_many(self, prefix: str, count: int) -> None:
-        """Create objects and keep which answers were lost."""
+        """Create objects and record which responses were lost."""
         self.losses = []
         for number in range(count):
             self.create(f'{prefix}/{number}', b'x')
             self.losses.append(fault(self.result) is StoreFault.UNKNOWN)
 
-    def next_shown(self) -> StoredObject | StoreError:
-        """Return what the watch shows next."""
-        return self.runner.run(asyncio.wait_for(self.shown.get(), PATIENCE_S))
+    def next_change(self) -> StoredObject | StoreError:
+        """Return the next result of the watch."""
+        return self.runner.run(asyncio.wait_for(self.changes.get(), TIMEOUT_S))
 
     def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Run the loop until a condition holds; fail when it never does."""
+        """Run the loop until a condition holds; fail on a timeout."""
         self.runner.run(until(condition))
 
     def close_store(self) -> None:
-        """End the watch and close the client."""
-        if self.watch is not None:
-            self.runner.run(end_task(self.watch))
-            self.watch = None
-        if self.writing is not None:
-            self.runner.run(end_task(self.writing))
-            self.writing = None
+        """Stop the watch and the pending write; close the client."""
+        if self.watch_task is not None:
+            self.runner.run(cancel_task(self.watch_task))
+            self.watch_task = None
+        if self.pending_write is not None:
+            self.runner.run(cancel_task(self.pending_write))
+            self.pending_write = None
         if self.client is not None:
             self.client.close()
             self.client = None
 
     def close(self) -> None:
-        """Close all."""
+        """Close the store and the server."""
         self.close_store()
         self.runner.run(self.server.close())
 
     def write_as_another(self, path: str, value: bytes) -> None:
-        """Write behind the faults, as another writer."""
+        """Write as another writer, unaffected by faults."""
         key = ObjectKey(*split(path))
-        found = self.service.objects.version(key)
-        self.service.objects.put(key, value, found)
+        version = self.service.objects.version(key)
+        self.service.objects.put(key, value, version)
 
 
 def split(path: str) -> tuple[str, str]:
@@ -182,42 +184,42 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds."""
-    async with asyncio.timeout(PATIENCE_S):
+    """Wait until a condition holds; raise on a timeout."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def end_task(task: Task[Any]) -> None:
-    """Cancel a task and wait for its end."""
+async def cancel_task(task: Task[Any]) -> None:
+    """Cancel a task and wait until it has ended."""
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-async def follow(bench: Bench, path: str, after: int) -> None:
-    """Put what a watch yields into the bench's queue."""
+async def collect_changes(bench: Bench, path: str, after: int) -> None:
+    """Put the results of a watch into the bench's queue."""
     kind, name = split(path)
     async for change in bench.store.watch(kind, name, after):
-        bench.shown.put_nowait(change)
+        bench.changes.put_nowait(change)
 
 
-async def start_task(bench: Bench, path: str, after: int) -> None:
+async def start_watch_task(bench: Bench, path: str, after: int) -> None:
     """Start a watch."""
-    bench.watch = asyncio.create_task(follow(bench, path, after))
+    bench.watch_task = asyncio.create_task(collect_changes(bench, path, after))
 
 
 def fetch(url: str, method: str = 'GET', body: object = None) -> Any:
-    """Call a stand-in that runs as a process; return the JSON."""
+    """Call a simulator that runs as a process; return the JSON."""
     data = None if body is None else json.dumps(body).encode()
     request = Request(url, data, method=method)
-    with urlopen(request, timeout=PATIENCE_S) as response:
+    with urlopen(request, timeout=TIMEOUT_S) as response:
         return json.loads(response.read())
 
 
 def fetch_failure(
     url: str, method: str = 'GET', body: object = None
 ) -> tuple[int, str]:
-    """Call a stand-in that refuses; return status and text."""
+    """Make a call that is refused; return status and text."""
     try:
         fetch(url, method, body)
     except HTTPError as error:
@@ -225,14 +227,14 @@
     raise AssertionError(f'expected {method} {url} to be refused')
 
 
-def end_process(process: 'subprocess.Popen[bytes]') -> None:
-    """End a process that a scenario started."""
+def kill_process(process: 'subprocess.Popen[bytes]') -> None:
+    """Kill a process that a scenario started."""
     process.kill()
     process.communicate()
 
 
-async def load_at_once(bench: Bench, count: int) -> None:
-    """Load weights in parallel."""
+async def load_concurrently(bench: Bench, count: int) -> None:
+    """Load weights concurrently."""
     loads = []
     for _number in range(count):
         loads.append(fetch_status(bench, '/weights/tutor/1', 'GET'))
@@ -240,7 +242,7 @@
 
 
 async def fetch_status(bench: Bench, path: str, method: str) -> int:
-    """Call the stand-in of the scenario; return the status."""
+    """Call the simulator of the scenario; return the status."""
     client = AsyncHTTPClient(force_instance=True)
     response = await client.fetch(
         bench.server.url + path,
@@ -255,12 +257,12 @@
 async def new_client(
     bench: Bench, options: ClientOptions, address: str = ''
 ) -> PlatformClient:
-    """Open the HTTP client inside the loop."""
+    """Open the HTTP client inside the event loop."""
     return PlatformClient(address or bench.server.address, options)
 
 
 async def start_write(bench: Bench, path: str) -> Task[Result]:
-    """Start a write and leave it under way."""
+    """Start a write without waiting for it."""
     kind, name = split(path)
     return asyncio.create_task(
         bench.store.put(kind, name, b'x', MUST_NOT_EXIST)
