--- a/features/steps/platform_fault_steps.py
+++ b/features/steps/platform_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps that inject platform faults and check their effects."""
+"""Inject platform faults and check their effects."""
 
 import socket
 
--- a/features/steps/platform_process_steps.py
+++ b/features/steps/platform_process_steps.py
@@ -1,4 +1,4 @@
-"""Steps that use the simulator over HTTP and as a process."""
+"""Use the platform simulator over HTTP and as a process."""
 
 import json
 import signal
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps that read and write through the store of a scenario."""
+"""Read and write through the store client of a scenario."""
 
 from asyncio import Runner
 
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run ``lacewingd --check`` on modified settings."""
+"""Run ``lacewingd --check`` on modified settings."""
 
 import json
 import subprocess
--- a/features/steps/slow_answers_steps.py
+++ b/features/steps/slow_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the timeouts of responses of the platform."""
+"""Test the timeouts of slow responses of the platform."""
 
 import asyncio
 import time
