--- a/packages/common/src/lacewing_common/audit/_buffer.py
+++ b/packages/common/src/lacewing_common/audit/_buffer.py
@@ -1,4 +1,4 @@
-"""Collect a process' audit records and enter them in batches."""
+"""Buffer the audit records of a process and write them in batches."""
 
 import asyncio
 from collections import deque
@@ -9,86 +9,87 @@
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
 
-_FLUSH_S = 5.0
-_BATCH = 32
-_KEPT = 4096
+_FLUSH_INTERVAL_S = 5.0
+_BATCH_RECORDS = 32
+_MAX_PENDING_RECORDS = 4096
 
 
 class AuditBuffer:
-    """Take records at once and write them later, one batch at a time.
+    """Accept records without waiting and write them later in batches.
 
-    In an outage of the platform the records wait, ``max_records`` at most;
-    then the newest are dropped and counted, and an entry tells how many. Kept
-    without a bound they would take the memory of a process that serves
-    requests.
+    During an outage of the platform, up to ``max_records`` records are kept.
+    Beyond that, new records are dropped and counted, and an entry reports
+    how many. An unbounded buffer would use up the memory of a process that
+    serves requests.
     """
 
     def __init__(
         self,
         log: AuditLog,
         who: str,
-        flush_s: float = _FLUSH_S,
-        max_records: int = _KEPT,
+        flush_s: float = _FLUSH_INTERVAL_S,
+        max_records: int = _MAX_PENDING_RECORDS,
     ) -> None:
-        self._audit = log
+        self._audit_log = log
         self._who = who
-        self._flush_s = flush_s
-        self._kept = max_records
-        self._waiting: deque[AuditRecord] = deque()
-        self._dropped = 0
-        self._losses = 0
-        self._writing = asyncio.Lock()
+        self._flush_interval_s = flush_s
+        self._max_records = max_records
+        self._pending: deque[AuditRecord] = deque()
+        self._dropped_count = 0
+        self._loss_count = 0
+        self._flush_lock = asyncio.Lock()
         self._log = get_log(Part.AUDIT)
 
     @property
     def pending_count(self) -> int:
         """Return the number of records not written yet."""
-        return len(self._waiting)
+        return len(self._pending)
 
     def add(self, record: AuditRecord) -> None:
-        """Take a record."""
-        if len(self._waiting) >= self._kept:
-            self._dropped += 1
+        """Queue a record, or drop it if the buffer is full."""
+        if len(self._pending) >= self._max_records:
+            self._dropped_count += 1
             return
-        if self._dropped:
-            self._waiting.append(self._loss(record))
-        self._waiting.append(record)
+        if self._dropped_count:
+            self._pending.append(self._loss_record(record))
+        self._pending.append(record)
 
     async def flush(self) -> bool:
-        """Write what waits; tell whether nothing is left."""
-        # The writing at an interval and the last one of a drain may meet.
-        # Each would let go of the same batch: records not written yet would
-        # be dropped, or the process end with an error in place of 0.
-        async with self._writing:
-            return await self._flush()
+        """Write the pending records; return whether none are left."""
+        # The periodic flush and the final flush of a drain may overlap.
+        # Without the lock, both would remove the same batch: unwritten
+        # records would be dropped, or the process would exit with an error
+        # code instead of 0.
+        async with self._flush_lock:
+            return await self._flush_pending()
 
-    async def _flush(self) -> bool:
-        while self._waiting:
-            batch = tuple(self._waiting)[:_BATCH]
-            error = await self._audit.append(batch)
+    async def _flush_pending(self) -> bool:
+        while self._pending:
+            batch = tuple(self._pending)[:_BATCH_RECORDS]
+            error = await self._audit_log.append(batch)
             if error is not None:
                 self._log.warning(
-                    'Entries wait.',
-                    count=len(self._waiting),
+                    'Writing audit records failed; they stay pending.',
+                    count=len(self._pending),
                     error=error.message,
                 )
                 return False
             for _ in batch:
-                self._waiting.popleft()
+                self._pending.popleft()
         return True
 
     async def run(self) -> None:
-        """Write at intervals, for ever."""
+        """Write the pending records periodically, forever."""
         while True:
-            await asyncio.sleep(self._flush_s)
+            await asyncio.sleep(self._flush_interval_s)
             await self.flush()
 
-    def _loss(self, after: AuditRecord) -> AuditRecord:
-        dropped = self._dropped
-        self._dropped = 0
-        self._losses += 1
+    def _loss_record(self, after: AuditRecord) -> AuditRecord:
+        dropped = self._dropped_count
+        self._dropped_count = 0
+        self._loss_count += 1
         return AuditRecord(
-            record_id=f'loss-{self._who}-{self._losses}',
+            record_id=f'loss-{self._who}-{self._loss_count}',
             who=self._who,
             action=Action.LOSS,
             subject='audit trail',
--- a/packages/common/src/lacewing_common/audit/_entries.py
+++ b/packages/common/src/lacewing_common/audit/_entries.py
@@ -1,4 +1,4 @@
-"""Describe the entries of the audit trail and how they are chained."""
+"""Define the entries of the audit trail and their hash chain."""
 
 from enum import Enum
 from hashlib import sha256
@@ -7,7 +7,7 @@
 
 
 class Action(Enum):
-    """Name what was done."""
+    """Name the kind of a recorded change."""
 
     ROLL = 'roll'
     ROLL_BACK = 'roll-back'
@@ -19,11 +19,11 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what is reported: who did what to what, when, with what result.
+    """Describe a change: actor, action, subject, time and result.
 
     ``record_id`` is the same for each report of one change, so that a change
-    is entered once though it is reported twice. ``before`` and ``after`` are
-    digests or versions; ``at`` is the time in ISO 8601.
+    reported twice is recorded once. ``before`` and ``after`` are digests or
+    versions; ``at`` is the time in ISO 8601.
     """
 
     record_id: str
@@ -37,7 +37,7 @@
 
 
 class AuditEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a record, its ``number`` from 1 and the hash of the one before."""
+    """Hold a record, its number from 1 and the previous entry's hash."""
 
     number: int
     previous: str
@@ -50,10 +50,10 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the newest entries of a trail, as the value of its object.
+    """Hold the newest entries of a trail, as stored in its object.
 
-    ``archived`` is the digest of the part that holds the chunk before, ''
-    for none. ``count`` and ``tail`` are the number and the hash of the last
+    ``archived`` is the digest of the part with the previous chunk, '' for
+    none. ``count`` and ``tail`` are the number and the hash of the last
     entry.
     """
 
@@ -67,12 +67,12 @@
 
 
 def encode_chunk(chunk: Chunk) -> bytes:
-    """Encode a chunk as a value of the platform."""
+    """Encode a chunk as an object value."""
     return msgspec.json.encode(chunk)
 
 
 def decode_chunk(value: bytes) -> Chunk | None:
-    """Read a chunk; None when it is malformed."""
+    """Decode a chunk; return None if it is malformed."""
     try:
         return msgspec.json.decode(value, type=Chunk)
     except msgspec.DecodeError:
@@ -80,7 +80,7 @@
 
 
 def append_entries(chunk: Chunk, records: tuple[AuditRecord, ...]) -> Chunk:
-    """Return the chunk with records added at its end."""
+    """Return the chunk with records appended."""
     entries = list(chunk.entries)
     count = chunk.count
     tail = chunk.tail
--- a/packages/common/src/lacewing_common/audit/_log.py
+++ b/packages/common/src/lacewing_common/audit/_log.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class _Read:
+class _StoredChunk:
     chunk: Chunk
     version: int
 
@@ -35,9 +35,9 @@
 class AuditLog:
     """Append to one trail; any number of writers may share it.
 
-    The newest entries are one object, replaced by conditional updates. A
-    full chunk becomes an immutable part that the next one names, so that the
-    object stays small while nothing is forgotten.
+    The newest entries are in one object, replaced by conditional updates. A
+    full chunk is archived as an immutable part that the next chunk refers to,
+    so that the object stays small and no entry is lost.
     """
 
     def __init__(
@@ -49,16 +49,16 @@
     ) -> None:
         self._store = store
         self._name = name
-        self._patience = retry_policy or RetryPolicy()
+        self._retry_policy = retry_policy or RetryPolicy()
         self._random = random or Random()
 
     async def append(
         self, records: tuple[AuditRecord, ...]
     ) -> None | StoreError:
-        """Enter records that are not entered yet, in order.
+        """Append the records that the trail lacks, in order.
 
-        A write takes as many as a chunk holds. After an error, append the
-        same records again.
+        One write adds at most ``CHUNK_ENTRIES`` records. After an error, the
+        caller should append the same records again.
         """
         for first in range(0, len(records), CHUNK_ENTRIES):
             batch = records[first : first + CHUNK_ENTRIES]
@@ -71,107 +71,115 @@
         self, records: tuple[AuditRecord, ...]
     ) -> None | StoreError:
         backoff = Backoff(
-            self._patience.backoff_base_s,
-            self._patience.backoff_cap_s,
+            self._retry_policy.backoff_base_s,
+            self._retry_policy.backoff_cap_s,
             self._random,
         )
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + self._patience.give_up_after_s
-        since: int | None = None
+        give_up_at = loop.time() + self._retry_policy.give_up_after_s
+        initial_count: int | None = None
         while True:
-            read = await self._read()
-            if isinstance(read, StoreError):
-                return read
-            if since is None:
-                since = read.chunk.count
-            answer = await self._append_once(read, records, since)
+            stored_chunk = await self._read_chunk()
+            if isinstance(stored_chunk, StoreError):
+                return stored_chunk
+            if initial_count is None:
+                initial_count = stored_chunk.chunk.count
+            answer = await self._append_once(
+                stored_chunk, records, initial_count
+            )
             if answer is None:
                 return None
             if answer.fault not in (StoreFault.CONFLICT, StoreFault.UNKNOWN):
                 return answer
             if loop.time() > give_up_at:
                 return answer
-            # Another writer was faster, or the answer was lost: the chunk is
-            # read again, and shows which of the records are in.
+            # Another writer updated the chunk first, or the answer was lost.
+            # The next read shows which of the records were appended.
             await asyncio.sleep(backoff.next_s())
 
-    async def _read(self) -> _Read | StoreError:
+    async def _read_chunk(self) -> _StoredChunk | StoreError:
         stored = await call_with_retries(
             lambda: self._store.get(AUDIT, self._name),
-            self._patience,
+            self._retry_policy,
             self._random,
         )
         if isinstance(stored, StoreError):
             if stored.fault is StoreFault.NOT_FOUND:
-                return _Read(EMPTY_CHUNK, MUST_NOT_EXIST)
+                return _StoredChunk(EMPTY_CHUNK, MUST_NOT_EXIST)
             return stored
         chunk = decode_chunk(stored.value)
         if chunk is None:
             return self._malformed()
-        return _Read(chunk, stored.version)
+        return _StoredChunk(chunk, stored.version)
 
     async def _append_once(
-        self, read: _Read, records: tuple[AuditRecord, ...], since: int
+        self,
+        stored_chunk: _StoredChunk,
+        records: tuple[AuditRecord, ...],
+        initial_count: int,
     ) -> None | StoreError:
-        known = await self._known_ids(read.chunk, since)
+        known = await self._known_ids(stored_chunk.chunk, initial_count)
         if isinstance(known, StoreError):
             return known
         missing = _missing(records, known)
         if not missing:
             return None
-        room = await self._make_room(read.chunk)
-        if isinstance(room, StoreError):
-            return room
-        return await self._put(append_entries(room, missing), read.version)
+        open_chunk = await self._archive_if_full(stored_chunk.chunk)
+        if isinstance(open_chunk, StoreError):
+            return open_chunk
+        return await self._put(
+            append_entries(open_chunk, missing), stored_chunk.version
+        )
 
     async def _put(self, chunk: Chunk, expect: int) -> None | StoreError:
         value = encode_chunk(chunk)
         answer = await call_with_retries(
             lambda: self._store.put(AUDIT, self._name, value, expect),
-            self._patience,
+            self._retry_policy,
             self._random,
         )
         return answer if isinstance(answer, StoreError) else None
 
     async def _known_ids(
-        self, chunk: Chunk, since: int
+        self, chunk: Chunk, initial_count: int
     ) -> set[str] | StoreError:
-        """Collect the ids of all entries since the first try, at least.
+        """Collect at least the ids of all entries since the first attempt.
 
-        A writer whose answer was lost may find its records archived by the
-        next writers; looking only at the newest chunk, it would enter them
-        twice. The chunk archived last is read in any case, for records that
-        two processes report.
+        If an answer was lost, later writers may have archived the records;
+        a search of the newest chunk only would append them twice. The chunk
+        archived last is always read, for records that two processes report.
         """
-        known = _ids(chunk)
+        known = _record_ids(chunk)
         first = True
-        while chunk.archived and (first or _start(chunk) > since):
+        while chunk.archived and (
+            first or _count_before(chunk) > initial_count
+        ):
             first = False
             digest = chunk.archived
-            stored = await self._archived(digest)
+            stored = await self._get_archived(digest)
             if isinstance(stored, StoreError):
                 return stored
-            before = decode_chunk(stored.value)
-            if before is None:
+            archived_chunk = decode_chunk(stored.value)
+            if archived_chunk is None:
                 return self._malformed()
-            known |= _ids(before)
-            chunk = before
+            known |= _record_ids(archived_chunk)
+            chunk = archived_chunk
         return known
 
-    async def _archived(self, digest: str) -> StoredObject | StoreError:
+    async def _get_archived(self, digest: str) -> StoredObject | StoreError:
         return await call_with_retries(
             lambda: self._store.get(PARTS, digest),
-            self._patience,
+            self._retry_policy,
             self._random,
         )
 
-    async def _make_room(self, chunk: Chunk) -> Chunk | StoreError:
+    async def _archive_if_full(self, chunk: Chunk) -> Chunk | StoreError:
         if len(chunk.entries) < CHUNK_ENTRIES:
             return chunk
         value = encode_chunk(chunk)
         digest = part_digest(value)
         error = await put_part(
-            self._store, PARTS, digest, value, self._patience, self._random
+            self._store, PARTS, digest, value, self._retry_policy, self._random
         )
         if error is not None:
             return error
@@ -185,11 +193,11 @@
         )
 
 
-def _ids(chunk: Chunk) -> set[str]:
+def _record_ids(chunk: Chunk) -> set[str]:
     return {entry.record.record_id for entry in chunk.entries}
 
 
-def _start(chunk: Chunk) -> int:
+def _count_before(chunk: Chunk) -> int:
     return chunk.count - len(chunk.entries)
 
 
--- a/packages/common/src/lacewing_common/audit/_reads.py
+++ b/packages/common/src/lacewing_common/audit/_reads.py
@@ -1,4 +1,4 @@
-"""Read audit trails and verify that nobody changed them."""
+"""Read audit trails and verify their hash chains."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class AuditTrail:
-    """Hold entries of a trail, oldest first, and what is wrong with them.
+    """Hold entries of a trail, oldest first, and the faults found.
 
-    ``is_complete`` tells whether they begin with the first entry of the trail.
+    ``is_complete`` is true if they start with the first entry of the trail.
     """
 
     name: str
@@ -41,14 +41,14 @@
         random: Random | None = None,
     ) -> None:
         self._store = store
-        self._patience = retry_policy or RetryPolicy()
+        self._retry_policy = retry_policy or RetryPolicy()
         self._random = random or Random()
 
     async def names(self) -> tuple[str, ...] | StoreError:
         """Return the names of all trails."""
         rows = await call_with_retries(
             lambda: self._store.list_names(AUDIT),
-            self._patience,
+            self._retry_policy,
             self._random,
         )
         if isinstance(rows, StoreError):
@@ -75,13 +75,15 @@
             count += len(chunk.entries)
             if not chunk.archived or 0 < limit <= count:
                 break
-            value = await self._archived(chunk.archived, faults)
-        faults.extend(_check(chunks))
+            value = await self._get_archived(chunk.archived, faults)
+        faults.extend(_check_chain(chunks))
         entries = tuple(_entries(chunks))
-        whole = bool(chunks) and not chunks[0].archived
-        return AuditTrail(name, entries, tuple(faults), whole)
+        reaches_start = bool(chunks) and not chunks[0].archived
+        return AuditTrail(name, entries, tuple(faults), reaches_start)
 
-    async def _archived(self, digest: str, faults: list[str]) -> bytes | None:
+    async def _get_archived(
+        self, digest: str, faults: list[str]
+    ) -> bytes | None:
         stored = await self._get(PARTS, digest)
         if isinstance(stored, StoreError):
             faults.append(f'the archived part {digest}: {stored.message}')
@@ -93,7 +95,9 @@
 
     async def _get(self, kind: str, name: str) -> StoredObject | StoreError:
         return await call_with_retries(
-            lambda: self._store.get(kind, name), self._patience, self._random
+            lambda: self._store.get(kind, name),
+            self._retry_policy,
+            self._random,
         )
 
 
@@ -102,8 +106,8 @@
         yield from chunk.entries
 
 
-def _check(chunks: list[Chunk]) -> Iterator[str]:
-    """Follow the numbers and hashes from the first entry read."""
+def _check_chain(chunks: list[Chunk]) -> Iterator[str]:
+    """Verify numbers and hashes, starting with the first entry read."""
     number: int | None = None
     tail = ''
     if chunks and not chunks[0].archived:
--- a/packages/common/src/lacewing_common/audit/_rolls.py
+++ b/packages/common/src/lacewing_common/audit/_rolls.py
@@ -1,9 +1,9 @@
-"""Derive the audit entries of rolls from the history of the bundle.
+"""Derive the audit entries of rolls from the roll history.
 
-A roll takes effect with the write of the head, and its entry is a second
-write. A crash in between leaves a change in force that the trail does not
-tell of. The head names who rolled what, when and over what, signed; so the
-entry can be made from it at any time, by anyone, with the same id.
+A roll takes effect when its head is written; its audit entry is a second
+write. After a crash in between, the active roll is missing in the trail. The
+signed head contains the operator, the time, the bundle and the replaced one,
+so that any process can create the entry later, with the same id.
 """
 
 from lacewing_common.audit._entries import Action
@@ -18,15 +18,15 @@
 from lacewing_common.store import StoreError
 
 BUNDLE_TRAIL = 'bundle'
-_ROLL_ID = 'roll-'
+_ROLL_ID_PREFIX = 'roll-'
 
 
 def record_of(roll: HistoryEntry) -> AuditRecord:
-    """Derive the record of a roll."""
+    """Derive the audit record of a roll."""
     action = Action.ROLL_BACK if roll.again else Action.ROLL
     signed_by = ', '.join(roll.signed_by)
     return AuditRecord(
-        record_id=f'{_ROLL_ID}{roll.number}-{roll.nonce}',
+        record_id=f'{_ROLL_ID_PREFIX}{roll.number}-{roll.nonce}',
         who=roll.operator,
         action=action,
         subject=f'bundle, roll {roll.number}, signed by {signed_by}',
@@ -37,17 +37,17 @@
 
 
 async def append_rolls(
-    log: AuditLog, trails: AuditReader, bundles: BundleHistory
+    log: AuditLog, reader: AuditReader, bundle_history: BundleHistory
 ) -> int | RollError:
-    """Enter the last rolls that are not entered; return how many.
+    """Append the records of the latest missing rolls; return how many.
 
-    Goes back to the newest roll that is entered. All before it are entered
-    as well, since each write brings along what was missing.
+    The search stops at the newest roll in the trail. All rolls before it are
+    in the trail too, since each write includes the missing ones.
     """
-    known = await _known_rolls(trails)
-    if isinstance(known, RollError):
-        return known
-    missing = await _missing(bundles, known)
+    known_ids = await _recorded_roll_ids(reader)
+    if isinstance(known_ids, RollError):
+        return known_ids
+    missing = await _missing_records(bundle_history, known_ids)
     if isinstance(missing, RollError):
         return missing
     if not missing:
@@ -58,58 +58,58 @@
     return len(missing)
 
 
-async def _known_rolls(trails: AuditReader) -> set[str] | RollError:
-    """Return the ids of the newest rolls entered, at least of one."""
+async def _recorded_roll_ids(reader: AuditReader) -> set[str] | RollError:
+    """Return the ids of the newest recorded rolls, at least one."""
     limit = 1
     while True:
-        trail = await trails.trail(BUNDLE_TRAIL, limit)
+        trail = await reader.trail(BUNDLE_TRAIL, limit)
         if isinstance(trail, StoreError):
             return RollError(RollFault.UNAVAILABLE, trail.message)
         if trail.faults:
             return RollError(RollFault.REFUSED, trail.faults[0])
-        known: set[str] = set()
+        known_ids: set[str] = set()
         for entry in trail.entries:
             if _is_roll(entry.record):
-                known.add(entry.record.record_id)
-        if known or trail.is_complete:
-            return known
+                known_ids.add(entry.record.record_id)
+        if known_ids or trail.is_complete:
+            return known_ids
         limit = len(trail.entries) + 1
 
 
-async def _missing(
-    bundles: BundleHistory, known: set[str]
+async def _missing_records(
+    bundle_history: BundleHistory, known_ids: set[str]
 ) -> tuple[AuditRecord, ...] | RollError:
     missing: list[AuditRecord] = []
-    async for roll in bundles.rolls():
+    async for roll in bundle_history.rolls():
         if isinstance(roll, RollError):
             return roll
         record = record_of(roll)
-        if record.record_id in known:
+        if record.record_id in known_ids:
             break
         missing.append(record)
     return tuple(reversed(missing))
 
 
 def _is_roll(record: AuditRecord) -> bool:
-    """Tell rolls in force from those that lost or were refused."""
-    return record.record_id.startswith(_ROLL_ID)
+    """Return whether a record is of a roll that took effect."""
+    return record.record_id.startswith(_ROLL_ID_PREFIX)
 
 
 def compare_rolls(
     history: tuple[HistoryEntry, ...], entries: tuple[AuditEntry, ...]
 ) -> tuple[str, ...]:
-    """Say how whole trail and whole history of rolls differ."""
-    wanted = {record_of(roll).record_id: record_of(roll) for roll in history}
+    """Describe the differences between a complete trail and history."""
+    expected = {record_of(roll).record_id: record_of(roll) for roll in history}
     faults: list[str] = []
     for entry in entries:
         record = entry.record
         if not _is_roll(record):
             continue
-        if wanted.pop(record.record_id, None) != record:
+        if expected.pop(record.record_id, None) != record:
             faults.append(
                 f'entry {entry.number} tells of {record.subject!r} by'
                 f' {record.who!r}, which the signed history does not'
             )
-    for record in wanted.values():
+    for record in expected.values():
         faults.append(f'{record.subject!r} by {record.who!r} is not entered')
     return tuple(faults)
--- a/packages/common/src/lacewing_common/bundles/__init__.py
+++ b/packages/common/src/lacewing_common/bundles/__init__.py
@@ -1,4 +1,4 @@
-"""Split, check, sign, roll and verify bundles."""
+"""Split, validate, sign, roll and verify bundles."""
 
 from lacewing_common.bundles._assemble import assemble
 from lacewing_common.bundles._check import check_bundle
--- a/packages/common/src/lacewing_common/bundles/_assemble.py
+++ b/packages/common/src/lacewing_common/bundles/_assemble.py
@@ -1,4 +1,4 @@
-"""Read the bundle out of its document."""
+"""Assemble a bundle from the parts of its document."""
 
 from lacewing_common.bundle import RolledBundle
 from lacewing_common.bundles._parts import contents_of
@@ -8,7 +8,7 @@
 
 
 def assemble(document: Document) -> RolledBundle | Refusal:
-    """Put the bundle of a document together that its guard let pass."""
+    """Assemble the bundle of a document that was validated before."""
     contents = contents_of(document.head.parts)
     if isinstance(contents, Refusal):
         return contents
--- a/packages/common/src/lacewing_common/bundles/_capacity.py
+++ b/packages/common/src/lacewing_common/bundles/_capacity.py
@@ -1,4 +1,4 @@
-"""Find versions of models and adapters that no worker can hold."""
+"""Find model and adapter versions that fit into no worker's memory."""
 
 from collections.abc import Iterator
 
@@ -10,10 +10,11 @@
 
 
 def check_capacity(bundle: Bundle) -> Iterator[Problem]:
-    """Compare each version with the memory of the workers that run it.
+    """Compare the size of each version with the memory of its workers.
 
-    Rolled anyway, such a version shows only when the workers refuse it: the
-    old one is unloaded by then and nothing serves the model.
+    Without this check, the error would only appear when the workers refuse
+    the version. They have unloaded the previous one by then, so that no
+    worker serves the model.
     """
     for index, model in enumerate(bundle.models):
         path = f'$.models[{index}]'
@@ -25,7 +26,7 @@
                 ' service lists it',
             )
             continue
-        memory_gb = _largest_gb(services)
+        memory_gb = _largest_worker_gb(services)
         if memory_gb is None:
             continue
         yield from _check_model(path, model, memory_gb)
@@ -42,30 +43,30 @@
             f' {memory_gb:g} GB',
         )
         return
-    for number, adapter in enumerate(model.adapters):
-        needed_gb = model.weights_gb + adapter.adapter_gb
-        if needed_gb <= memory_gb:
+    for adapter_index, adapter in enumerate(model.adapters):
+        required_gb = model.weights_gb + adapter.adapter_gb
+        if required_gb <= memory_gb:
             continue
         yield Problem(
-            f'{path}.adapters[{number}].version',
+            f'{path}.adapters[{adapter_index}].version',
             f'no worker can hold the version {adapter.version!r}: with its'
-            f' model it needs {needed_gb:g} GB, the largest worker has'
+            f' model it needs {required_gb:g} GB, the largest worker has'
             f' {memory_gb:g} GB',
         )
 
 
 def _services_of(bundle: Bundle, model: Model) -> list[Service]:
-    found: list[Service] = []
+    model_services: list[Service] = []
     for service in bundle.services:
         if service.kind is not ServiceKind.MODEL:
             continue
         if model.name in service.models:
-            found.append(service)
-    return found
+            model_services.append(service)
+    return model_services
 
 
-def _largest_gb(services: list[Service]) -> float | None:
-    """Return the memory of the largest worker, None when not known."""
+def _largest_worker_gb(services: list[Service]) -> float | None:
+    """Return the memory of the largest worker, None if unknown."""
     largest = 0.0
     for service in services:
         if service.worker_memory_gb == 0.0:
--- a/packages/common/src/lacewing_common/bundles/_check.py
+++ b/packages/common/src/lacewing_common/bundles/_check.py
@@ -1,4 +1,4 @@
-"""Check what a decoded bundle says, beyond the types of its fields."""
+"""Validate the contents of a decoded bundle, beyond its field types."""
 
 from collections.abc import Iterator
 
@@ -11,19 +11,19 @@
 from lacewing_common.bundles._problems import closest
 from lacewing_common.bundles._problems import Problem
 
-_HEX = frozenset('0123456789abcdef')
-_SHA256_HEX = 64
-_KEY_HEX = 64
+_HEX_DIGITS = frozenset('0123456789abcdef')
+_SHA256_HEX_CHARS = 64
+_PUBLIC_KEY_HEX_CHARS = 64
 
 
 def check_bundle(bundle: Bundle) -> tuple[Problem, ...]:
-    """Return all problems of a bundle, in the order of its fields."""
+    """Return all problems of a bundle, in field order."""
     services = frozenset(service.name for service in bundle.services)
     return (*check_teams(bundle.teams, services), *check_rest(bundle))
 
 
 def check_rest(bundle: Bundle) -> tuple[Problem, ...]:
-    """Return the problems of all but the teams."""
+    """Return the problems of everything except the teams."""
     return (
         *_check_services(bundle),
         *_check_models(bundle),
@@ -36,7 +36,7 @@
 def check_teams(
     teams: tuple[Team, ...], services: frozenset[str]
 ) -> tuple[Problem, ...]:
-    """Return the problems of teams that may call the named services."""
+    """Return the problems of teams; ``services`` are the valid names."""
     names = [team.name for team in teams]
     problems = list(_check_names('$.teams', names))
     owners: dict[str, str] = {}
@@ -61,29 +61,30 @@
             f'expected at least one key of the team {team.name!r}',
         )
     for index, key_hash in enumerate(team.key_hashes):
-        at = f'{path}.key_hashes[{index}]'
-        if not _is_hex(key_hash, _SHA256_HEX):
+        item_path = f'{path}.key_hashes[{index}]'
+        if not _is_hex(key_hash, _SHA256_HEX_CHARS):
             yield Problem(
-                at, f'expected a SHA-256 as 64 hex digits, got {key_hash!r}'
+                item_path,
+                f'expected a SHA-256 as 64 hex digits, got {key_hash!r}',
             )
             continue
         owner = owners.setdefault(key_hash, team.name)
         if owner != team.name:
-            yield Problem(at, f'duplicate: the key of team {owner!r}')
+            yield Problem(item_path, f'duplicate: the key of team {owner!r}')
 
 
 def _check_team_numbers(path: str, team: Team) -> Iterator[Problem]:
     if team.share <= 0:
-        yield _expected_above_0(f'{path}.share', team.share)
+        yield _not_positive(f'{path}.share', team.share)
     limits = team.limits
-    named: list[tuple[str, float]] = [
+    limit_values: list[tuple[str, float]] = [
         ('requests_per_s', limits.requests_per_s),
         ('tokens_per_s', limits.tokens_per_s),
         ('concurrency', limits.concurrency),
     ]
-    for field, value in named:
+    for field, value in limit_values:
         if value < 0:
-            yield _expected_not_below_0(f'{path}.limits.{field}', value)
+            yield _negative(f'{path}.limits.{field}', value)
 
 
 def _check_services(bundle: Bundle) -> Iterator[Problem]:
@@ -140,7 +141,7 @@
     ]
     for field, value in positive:
         if value <= 0:
-            yield _expected_above_0(f'{path}.{field}', value)
+            yield _not_positive(f'{path}.{field}', value)
     weights = service.weights
     not_negative: list[tuple[str, float]] = [
         ('weights.tail', weights.tail),
@@ -149,7 +150,7 @@
     ]
     for field, value in not_negative:
         if value < 0:
-            yield _expected_not_below_0(f'{path}.{field}', value)
+            yield _negative(f'{path}.{field}', value)
 
 
 def _check_models(bundle: Bundle) -> Iterator[Problem]:
@@ -171,7 +172,7 @@
 
 def _check_secret(bundle: Bundle) -> Iterator[Problem]:
     secret = bundle.prefix_secret
-    if len(secret) % 2 or not _HEX.issuperset(secret):
+    if len(secret) % 2 or not _HEX_DIGITS.issuperset(secret):
         yield Problem(
             '$.prefix_secret', 'expected an even number of hex digits'
         )
@@ -180,34 +181,36 @@
 def _check_operators(bundle: Bundle) -> Iterator[Problem]:
     names = [operator.name for operator in bundle.operators]
     yield from _check_names('$.operators', names)
-    needed = 2 if bundle.policies.separate_approver else 1
+    min_keys = 2 if bundle.policies.separate_approver else 1
     keys: dict[str, str] = {}
     for index, operator in enumerate(bundle.operators):
         path = f'$.operators[{index}].public_key'
-        if not _is_hex(operator.public_key, _KEY_HEX):
+        if not _is_hex(operator.public_key, _PUBLIC_KEY_HEX_CHARS):
             yield Problem(path, 'expected an Ed25519 key as 64 hex digits')
             continue
         owner = keys.setdefault(operator.public_key, operator.name)
         if owner != operator.name:
             yield Problem(path, f'duplicate: the key of {owner!r}')
-    if len(keys) < needed:
+    if len(keys) < min_keys:
         yield Problem(
             '$.operators',
-            f'expected at least {needed} with keys of their own; otherwise'
+            f'expected at least {min_keys} with keys of their own; otherwise'
             ' nobody could sign the next bundle off',
         )
 
 
 def _check_names(path: str, names: list[str]) -> Iterator[Problem]:
-    first: dict[str, int] = {}
+    first_indices: dict[str, int] = {}
     for index, name in enumerate(names):
-        at = f'{path}[{index}].name'
+        item_path = f'{path}[{index}].name'
         if not name:
-            yield Problem(at, "expected a name, got ''")
+            yield Problem(item_path, "expected a name, got ''")
             continue
-        seen = first.setdefault(name, index)
+        seen = first_indices.setdefault(name, index)
         if seen != index:
-            yield Problem(at, f'duplicate: {name!r} is also {path}[{seen}]')
+            yield Problem(
+                item_path, f'duplicate: {name!r} is also {path}[{seen}]'
+            )
 
 
 def _check_references(
@@ -215,23 +218,23 @@
 ) -> Iterator[Problem]:
     seen: set[str] = set()
     for index, name in enumerate(names):
-        at = f'{path}[{index}]'
+        item_path = f'{path}[{index}]'
         if name not in known:
             yield Problem(
-                at, f'no {what} is named {name!r}', closest(name, known)
+                item_path, f'no {what} is named {name!r}', closest(name, known)
             )
         if name in seen:
-            yield Problem(at, f'duplicate: {name!r}')
+            yield Problem(item_path, f'duplicate: {name!r}')
         seen.add(name)
 
 
 def _is_hex(text: str, digits: int) -> bool:
-    return len(text) == digits and _HEX.issuperset(text)
+    return len(text) == digits and _HEX_DIGITS.issuperset(text)
 
 
-def _expected_above_0(path: str, value: float) -> Problem:
+def _not_positive(path: str, value: float) -> Problem:
     return Problem(path, f'expected a number above 0, got {value}')
 
 
-def _expected_not_below_0(path: str, value: float) -> Problem:
+def _negative(path: str, value: float) -> Problem:
     return Problem(path, f'expected 0 or more, got {value}')
--- a/packages/common/src/lacewing_common/bundles/_parts.py
+++ b/packages/common/src/lacewing_common/bundles/_parts.py
@@ -1,8 +1,8 @@
-"""Split a bundle into immutable parts and put it together again.
+"""Split a bundle into immutable parts and join them again.
 
-The parts of one bundle are always the same bytes: lists are sorted by name,
-and a team's bucket follows from its name alone. So the edit of one team
-changes one part, and every process computes the same digests.
+The encoding is canonical: lists are sorted by name, and the bucket of a team
+depends on its name alone. Editing one team therefore changes one part only,
+and all processes compute the same digests.
 """
 
 from hashlib import sha256
@@ -25,48 +25,48 @@
 TEAM_BUCKETS = 64
 
 
-class _Tagged(
+class _TaggedPart(
     msgspec.Struct, frozen=True, tag_field='part', forbid_unknown_fields=True
 ):
-    """Mark the contents of a part; the tag tells which."""
+    """Identify the kind of a part by its tag."""
 
 
-class TrustPart(_Tagged, tag='trust', frozen=True):
-    """Hold who may sign the next bundle, and how many have to."""
+class TrustPart(_TaggedPart, tag='trust', frozen=True):
+    """Hold the operators who may sign the next bundle, and the policies."""
 
     operators: tuple[Operator, ...]
     policies: Policies
 
 
-class _SecretPart(_Tagged, tag='secret', frozen=True):
+class _SecretPart(_TaggedPart, tag='secret', frozen=True):
     prefix_secret: str
 
 
-class _ModelsPart(_Tagged, tag='models', frozen=True):
+class _ModelsPart(_TaggedPart, tag='models', frozen=True):
     models: tuple[Model, ...]
 
 
-class _ServicesPart(_Tagged, tag='services', frozen=True):
+class _ServicesPart(_TaggedPart, tag='services', frozen=True):
     services: tuple[Service, ...]
 
 
-class TeamsPart(_Tagged, tag='teams', frozen=True):
+class TeamsPart(_TaggedPart, tag='teams', frozen=True):
     """Hold the teams of one bucket."""
 
     bucket: int
     teams: tuple[Team, ...]
 
 
-_N = TypeVar('_N', Model, Operator, Service, Team)
+_Named = TypeVar('_Named', Model, Operator, Service, Team)
 Content = TrustPart | _SecretPart | _ModelsPart | _ServicesPart | TeamsPart
 _DECODER: msgspec.json.Decoder[Content] = msgspec.json.Decoder(Content)
 _ENCODER = msgspec.json.Encoder()
-# Trust, secret, models, services; then the teams.
+# Trust, secret, models and services come before the parts with teams.
 _FIXED_PARTS = 4
 
 
 class Contents(msgspec.Struct, frozen=True):
-    """Hold the digests of a bundle's parts, the trust part's first."""
+    """Hold the digests of a bundle's parts, starting with the trust part."""
 
     trust: str
     rest: tuple[str, ...]
@@ -78,21 +78,21 @@
 
 
 def rest_digest(digests: tuple[str, ...]) -> str:
-    """Return the SHA-256 over the digests of all parts but the first."""
+    """Return the SHA-256 over the digests of all parts except trust."""
     return sha256('\n'.join(digests).encode()).hexdigest()
 
 
 def bundle_digest(trust: str, rest: str) -> str:
-    """Return the digest of a bundle from those of its trust and its rest.
+    """Combine the trust digest and the rest digest of a bundle.
 
-    Made of two halves, so that the proof of who could sign carries the
-    trust parts of earlier bundles without the rest of them.
+    Two separate digests allow a proof to contain the trust parts of earlier
+    bundles without their other parts.
     """
     return sha256(f'bundle\n{trust}\n{rest}'.encode()).hexdigest()
 
 
 def contents_of(digests: tuple[str, ...]) -> Contents | Refusal:
-    """Read the digests of a head."""
+    """Return the part digests of a head as contents."""
     if len(digests) < _FIXED_PARTS:
         return _malformed(
             f'expected at least {_FIXED_PARTS} parts, got {len(digests)}'
@@ -101,7 +101,7 @@
 
 
 def contents_of_parts(parts: tuple[bytes, ...]) -> Contents:
-    """Compute the digests of what ``split`` returned."""
+    """Compute the digests of the parts that ``split`` returned."""
     digests = tuple(part_digest(part) for part in parts)
     return Contents(digests[0], digests[1:])
 
@@ -109,17 +109,17 @@
 def split(bundle: Bundle) -> tuple[bytes, ...]:
     """Split a bundle into its parts, the trust part first."""
     contents: list[Content] = [
-        TrustPart(_by_name(bundle.operators), bundle.policies),
+        TrustPart(_sorted_by_name(bundle.operators), bundle.policies),
         _SecretPart(bundle.prefix_secret),
-        _ModelsPart(_by_name(bundle.models)),
-        _ServicesPart(_by_name(bundle.services)),
+        _ModelsPart(_sorted_by_name(bundle.models)),
+        _ServicesPart(_sorted_by_name(bundle.services)),
         *_team_parts(bundle.teams),
     ]
     return tuple(_ENCODER.encode(content) for content in contents)
 
 
 def join(parts: tuple[bytes, ...]) -> Bundle | Refusal:
-    """Put a bundle together from exactly the bytes that ``split`` made."""
+    """Join parts that are exactly the bytes that ``split`` produces."""
     contents: list[Content] = []
     for part in parts:
         content = read_content(part)
@@ -130,22 +130,22 @@
 
 
 def read_content(part: bytes) -> Content | Refusal:
-    """Decode a part that has exactly the bytes that ``split`` makes.
+    """Decode a part that is exactly the bytes that ``split`` produces.
 
-    Any other bytes are refused: two encodings of one bundle would have two
-    digests, and processes would differ on what was signed.
+    Other encodings are refused: two encodings of one bundle would have
+    different digests, and processes would disagree on what was signed.
     """
     try:
         content = _DECODER.decode(part)
     except msgspec.DecodeError as error:
         return _malformed(str(error))
-    if _ENCODER.encode(_sorted(content)) != part:
+    if _ENCODER.encode(_canonical_content(content)) != part:
         return _malformed('a part is not in its one order and encoding')
     return content
 
 
 def join_contents(contents: list[Content]) -> Bundle | Refusal:
-    """Put a bundle together from the contents of its parts, in order."""
+    """Join the decoded parts of a bundle, given in order."""
     if len(contents) < _FIXED_PARTS:
         return _malformed(f'expected {_FIXED_PARTS} parts or more')
     trust, secret, models, services = contents[:_FIXED_PARTS]
@@ -170,7 +170,7 @@
 
 
 def read_trust(part: bytes) -> TrustPart | Refusal:
-    """Read a trust part."""
+    """Decode a trust part."""
     try:
         return msgspec.json.decode(part, type=TrustPart)
     except msgspec.DecodeError as error:
@@ -178,7 +178,7 @@
 
 
 def canonical(bundle: Bundle) -> Bundle:
-    """Sort the lists of a bundle as ``join`` returns them."""
+    """Return the bundle with its lists in the order that ``join`` returns."""
     joined = join(split(bundle))
     if isinstance(joined, Refusal):
         raise ValueError(joined.message)
@@ -195,34 +195,34 @@
             return _malformed('the buckets of the teams are not in order')
         last_bucket = content.bucket
         teams.extend(content.teams)
-    return _by_name(tuple(teams))
+    return _sorted_by_name(tuple(teams))
 
 
-def _sorted(content: Content) -> Content:
-    """Return the content as ``split`` would have made it."""
+def _canonical_content(content: Content) -> Content:
+    """Return the content in the order that ``split`` produces."""
     if isinstance(content, TrustPart):
-        return TrustPart(_by_name(content.operators), content.policies)
+        return TrustPart(_sorted_by_name(content.operators), content.policies)
     if isinstance(content, _ModelsPart):
-        return _ModelsPart(_by_name(content.models))
+        return _ModelsPart(_sorted_by_name(content.models))
     if isinstance(content, _ServicesPart):
-        return _ServicesPart(_by_name(content.services))
+        return _ServicesPart(_sorted_by_name(content.services))
     if isinstance(content, TeamsPart):
-        return _sorted_teams(content)
+        return _canonical_teams(content)
     return content
 
 
-def _sorted_teams(content: TeamsPart) -> TeamsPart:
-    """Leave out teams of other buckets, so that the bytes differ."""
-    own: list[Team] = []
-    for team in _by_name(content.teams):
+def _canonical_teams(content: TeamsPart) -> TeamsPart:
+    """Drop teams of other buckets, so that the encoded bytes differ."""
+    bucket_teams: list[Team] = []
+    for team in _sorted_by_name(content.teams):
         if _bucket(team.name) == content.bucket:
-            own.append(team)
-    return TeamsPart(content.bucket, tuple(own))
+            bucket_teams.append(team)
+    return TeamsPart(content.bucket, tuple(bucket_teams))
 
 
 def _team_parts(teams: tuple[Team, ...]) -> list[TeamsPart]:
     buckets: dict[int, list[Team]] = {}
-    for team in _by_name(teams):
+    for team in _sorted_by_name(teams):
         buckets.setdefault(_bucket(team.name), []).append(team)
     parts: list[TeamsPart] = []
     for bucket in sorted(buckets):
@@ -234,7 +234,7 @@
     return sha256(team.encode()).digest()[0] % TEAM_BUCKETS
 
 
-def _by_name(named: tuple[_N, ...]) -> tuple[_N, ...]:
+def _sorted_by_name(named: tuple[_Named, ...]) -> tuple[_Named, ...]:
     return tuple(sorted(named, key=attrgetter('name')))
 
 
--- a/packages/common/src/lacewing_common/bundles/_pins.py
+++ b/packages/common/src/lacewing_common/bundles/_pins.py
@@ -1,4 +1,4 @@
-"""Check the pins of a service."""
+"""Validate the pins of a service."""
 
 from collections.abc import Iterator
 
@@ -9,23 +9,23 @@
 
 
 def check_pins(path: str, service: Service) -> Iterator[Problem]:
-    """Return the problems of a service's pins; ``path`` is the service's."""
+    """Return the problems of the pins of the service at ``path``."""
     seen: set[Pin] = set()
     known = frozenset(service.models)
     for index, pin in enumerate(service.pins):
-        at = f'{path}.pins[{index}]'
+        pin_path = f'{path}.pins[{index}]'
         if pin.model not in known:
             yield Problem(
-                f'{at}.model',
+                f'{pin_path}.model',
                 f'no model of the service is named {pin.model!r}',
                 closest(pin.model, known),
             )
         if bool(pin.worker) == bool(pin.zone):
             yield Problem(
-                at,
+                pin_path,
                 'expected either a worker or a zone, got'
                 f' worker {pin.worker!r} and zone {pin.zone!r}',
             )
         if pin in seen:
-            yield Problem(at, 'duplicate: the same pin comes before')
+            yield Problem(pin_path, 'duplicate: the same pin comes before')
         seen.add(pin)
--- a/packages/common/src/lacewing_common/bundles/_problems.py
+++ b/packages/common/src/lacewing_common/bundles/_problems.py
@@ -1,4 +1,4 @@
-"""Name what is wrong in a bundle, where, and what may be meant."""
+"""Describe problems of a bundle, with JSON path and suggestion."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """Hold one problem; ``path`` is a JSON path such as ``$.teams[0]``."""
+    """Describe one problem; ``path`` is a JSON path like ``$.teams[0]``."""
 
     path: str
     message: str
@@ -21,6 +21,6 @@
 
 
 def closest(word: str, known: Iterable[str]) -> str:
-    """Return the known word most like another, '' if none is."""
+    """Return the known word closest to ``word``, '' if none is close."""
     matches = get_close_matches(word, sorted(known), n=1)
     return matches[0] if matches else ''
--- a/packages/common/src/lacewing_common/bundles/_proof.py
+++ b/packages/common/src/lacewing_common/bundles/_proof.py
@@ -1,9 +1,9 @@
-"""Prove to a process that knows the root operators who rolled a bundle.
+"""Verify who rolled a bundle, starting from the root operators.
 
-Operators' keys are part of the bundle, and a bundle is signed with keys of the
-one in force before. A cold process has not seen those earlier bundles, so the
-proof carries each trust part since the first, with the signatures that put it
-in force; nothing else of the earlier bundles.
+A bundle lists the operators' public keys and is signed with keys that the
+previously active bundle lists. A newly started process has not seen earlier
+bundles, so the proof contains each earlier trust part with the signatures that
+activated it, and nothing else of those bundles.
 """
 
 import msgspec
@@ -25,9 +25,9 @@
 
 
 class TrustLink(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one roll that changed the trust, with what proves it.
+    """Hold one roll that changed the trust part, with its signatures.
 
-    ``trust`` is the trust part; ``rest`` the digest over the other parts.
+    ``trust`` is the trust part, ``rest`` the digest over the other parts.
     """
 
     trust: bytes
@@ -37,12 +37,12 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest of the bundle that was rolled."""
+        """Return the digest of the rolled bundle."""
         return bundle_digest(part_digest(self.trust), self.rest)
 
 
 class Proof(msgspec.Struct, frozen=True, kw_only=True):
-    """Prove a head: earlier changes of trust, sign-offs and the roll."""
+    """Hold the earlier trust changes, the sign-offs and the roll of a head."""
 
     links: tuple[TrustLink, ...]
     sign_offs: tuple[SignOff, ...]
@@ -50,12 +50,12 @@
 
 
 def encode_proof(proof: Proof) -> bytes:
-    """Encode for ``DocumentHead.proof``."""
+    """Encode a proof for ``DocumentHead.proof``."""
     return msgspec.json.encode(proof)
 
 
 def read_proof(head: DocumentHead) -> Proof | Refusal:
-    """Read the proof of a head, without checking it."""
+    """Decode the proof of a head without verifying it."""
     try:
         return msgspec.json.decode(head.proof, type=Proof)
     except msgspec.DecodeError as error:
@@ -65,10 +65,10 @@
 def links_after(
     head: DocumentHead, trust: bytes, since: int = 0
 ) -> tuple[TrustLink, ...] | Refusal:
-    """Return the links that the next roll after a head carries.
+    """Return the trust links for the proof of the roll after a head.
 
-    ``trust`` is the trust part of the head; links of rolls before ``since``
-    are dropped, but for the last one.
+    ``trust`` is the trust part of the head. Links of rolls before ``since``
+    are dropped, except for the last link.
     """
     proof = read_proof(head)
     if isinstance(proof, Refusal):
@@ -78,84 +78,96 @@
         return contents
     links = proof.links
     if links and links[-1].trust == trust:
-        return _drop(links, since)
+        return _drop_links_before(links, since)
     link = TrustLink(
         trust=trust,
         rest=rest_digest(contents.rest),
         sign_offs=proof.sign_offs,
         roll=proof.roll,
     )
-    return _drop((*links, link), since)
+    return _drop_links_before((*links, link), since)
 
 
-def _drop(links: tuple[TrustLink, ...], since: int) -> tuple[TrustLink, ...]:
+def _drop_links_before(
+    links: tuple[TrustLink, ...], since: int
+) -> tuple[TrustLink, ...]:
     kept = [link for link in links[:-1] if link.roll.number >= since]
     return (*kept, links[-1])
 
 
 def check_proof(head: DocumentHead, root: TrustPart) -> Refusal | None:
-    """Check the signatures of a head, back to the root operators.
+    """Verify the signatures of a head back to the root operators.
 
-    The root operators may have signed the first link, or a later one, or
-    the roll itself. Were it only the first, settings could never be renewed:
-    a process whose root no longer lists who signed the first bundle, say
-    because that key was stolen, would refuse every bundle of the fleet.
+    The root operators may have signed any link, or the roll itself. If only
+    the first link counted, the root operators in the settings could never be
+    replaced: a process whose settings no longer list the signer of the first
+    bundle, for example because that key was stolen, would refuse every
+    bundle of the fleet.
     """
     proof = read_proof(head)
     if isinstance(proof, Refusal):
         return proof
-    first = _first_signed_by(proof.links, root)
-    trust = _root_at(first, proof.links, root)
+    first = _first_link_signed_by(proof.links, root)
+    trust = _root_trust_at(first, proof.links, root)
     if isinstance(trust, Refusal):
         return trust
-    return _check_from(first, trust, proof, head)
+    return _check_links_from(first, trust, proof, head)
 
 
-def check_proof_after(head: DocumentHead, held: TrustLink) -> Refusal | None:
-    """Check a head against the links of one that is in force here.
+def check_proof_after(
+    head: DocumentHead, last_link: TrustLink
+) -> Refusal | None:
+    """Verify a head against the last trust link of the active bundle.
 
-    The last link held has to be in the proof: else the holder of a key that
-    it withdrew could go on signing. What comes before it was checked before,
-    and operators may have dropped it.
+    The proof must contain that link: otherwise the holder of a key that the
+    link revoked could continue to sign. Earlier links were verified before,
+    and operators may have dropped them.
     """
     proof = read_proof(head)
     if isinstance(proof, Refusal):
         return proof
     if proof.roll.number != head.version:
         return _wrong_number(proof, head)
-    if held not in proof.links:
+    if last_link not in proof.links:
         return not_run(
             Reason.BUNDLE_NOT_SIGNED,
             'bundle: its proof leaves out a change of operators that is in'
             ' force here',
         )
-    trust = read_trust(held.trust)
+    trust = read_trust(last_link.trust)
     if isinstance(trust, Refusal):
         return trust
-    return _check_from(proof.links.index(held) + 1, trust, proof, head)
+    return _check_links_from(
+        proof.links.index(last_link) + 1, trust, proof, head
+    )
 
 
-def _first_signed_by(links: tuple[TrustLink, ...], root: TrustPart) -> int:
-    """Return the first link that the root operators signed.
+def _first_link_signed_by(
+    links: tuple[TrustLink, ...], root: TrustPart
+) -> int:
+    """Return the index of the first link that the root operators signed.
 
-    Past the last one if there is none: then the roll itself is to be theirs.
-    All that follows has to hold from there on. To try each link in turn until
-    one leads to the end would let a root key sign that the fleet has
-    withdrawn, but not yet the settings.
+    Returns the number of links if there is none: then they must have signed
+    the roll itself. Everything after the returned link must be valid. Trying
+    later links as well would accept signatures of a root key that the fleet
+    has revoked but the settings still list.
     """
     for index, link in enumerate(links):
-        trust = _root_at(index, links, root)
+        trust = _root_trust_at(index, links, root)
         if isinstance(trust, Refusal):
             continue
-        if _check(link.sign_offs, link.roll, link.digest, trust) is None:
+        if (
+            _check_signatures(link.sign_offs, link.roll, link.digest, trust)
+            is None
+        ):
             return index
     return len(links)
 
 
-def _check_from(
+def _check_links_from(
     first: int, trust: TrustPart, proof: Proof, head: DocumentHead
 ) -> Refusal | None:
-    """Follow the links from one on, signed by whom ``trust`` lists."""
+    """Verify the links from ``first`` on, the first against ``trust``."""
     contents = contents_of(head.parts)
     if isinstance(contents, Refusal):
         return contents
@@ -163,25 +175,29 @@
         return _wrong_number(proof, head)
     number = proof.links[first - 1].roll.number if first else 0
     for link in proof.links[first:]:
-        refusal = _check(link.sign_offs, link.roll, link.digest, trust)
+        refusal = _check_signatures(
+            link.sign_offs, link.roll, link.digest, trust
+        )
         if refusal is not None:
             return refusal
         if link.roll.number <= number:
             return _invalid('the changes of operators are not in order')
         number = link.roll.number
-        read = read_trust(link.trust)
-        if isinstance(read, Refusal):
-            return read
-        trust = read
+        next_trust = read_trust(link.trust)
+        if isinstance(next_trust, Refusal):
+            return next_trust
+        trust = next_trust
     if proof.roll.number <= number:
         return _invalid('a change of operators is newer than the roll itself')
-    return _check(proof.sign_offs, proof.roll, contents.digest, trust)
+    return _check_signatures(
+        proof.sign_offs, proof.roll, contents.digest, trust
+    )
 
 
-def _root_at(
+def _root_trust_at(
     index: int, links: tuple[TrustLink, ...], root: TrustPart
 ) -> TrustPart | Refusal:
-    """Return the root operators under the policies in force at a link."""
+    """Return the root operators with the policies active at a link."""
     if index == 0:
         return root
     trust = read_trust(links[index - 1].trust)
@@ -190,7 +206,7 @@
     return TrustPart(root.operators, trust.policies)
 
 
-def _check(
+def _check_signatures(
     sign_offs: tuple[SignOff, ...], roll: Roll, digest: str, trust: TrustPart
 ) -> Refusal | None:
     refusal = check_sign_offs(sign_offs, digest, trust)
--- a/packages/common/src/lacewing_common/bundles/_read.py
+++ b/packages/common/src/lacewing_common/bundles/_read.py
@@ -1,4 +1,4 @@
-"""Read a bundle from JSON and name all that is wrong in it."""
+"""Decode a bundle from JSON and report all of its problems."""
 
 from functools import cache
 from typing import Any
@@ -17,10 +17,10 @@
 
 
 def read_bundle_text(text: bytes) -> Bundle | tuple[Problem, ...]:
-    """Read and check a bundle; return it, or all of its problems.
+    """Decode and validate a bundle; return it, or all of its problems.
 
-    msgspec stops at the first wrong field; a person who edits by hand wants
-    all of them, with the JSON path of each.
+    msgspec stops at the first invalid field, but a person who edits the file
+    needs all problems, each with its JSON path.
     """
     try:
         raw = msgspec.json.decode(text)
@@ -36,26 +36,28 @@
 
 
 def _unknown_fields(raw: Any, kind: Any, path: str) -> list[Problem]:
-    """Walk the text beside the types and collect unknown fields."""
+    """Compare decoded JSON with the types and collect unknown fields."""
     if get_origin(kind) is tuple:
         return _unknown_in_list(raw, get_args(kind)[0], path)
     if not isinstance(kind, type) or not issubclass(kind, msgspec.Struct):
         return []
     if not isinstance(raw, dict):
         return []
-    hints = _fields_of(kind)
+    field_types = _field_types(kind)
     problems: list[Problem] = []
     for name, value in raw.items():
-        if name not in hints:
+        if name not in field_types:
             problems.append(
                 Problem(
                     f'{path}.{name}',
                     f'unknown field {name!r}',
-                    closest(name, hints),
+                    closest(name, field_types),
                 )
             )
             continue
-        problems.extend(_unknown_fields(value, hints[name], f'{path}.{name}'))
+        problems.extend(
+            _unknown_fields(value, field_types[name], f'{path}.{name}')
+        )
     return problems
 
 
@@ -69,14 +71,14 @@
 
 
 def _wrong_types(raw: Any) -> list[Problem]:
-    """Convert each element by itself, to report one problem of each."""
+    """Convert each element separately, to report one problem for each."""
     if not isinstance(raw, dict):
         return [Problem(_ROOT, 'expected an object')]
-    hints = _fields_of(Bundle)
+    field_types = _field_types(Bundle)
     problems: list[Problem] = []
     for name, value in raw.items():
         path = f'{_ROOT}.{name}'
-        kind = hints[name]
+        kind = field_types[name]
         if get_origin(kind) is not tuple or not isinstance(value, list):
             problems.extend(_convert(value, kind, path))
             continue
@@ -88,7 +90,7 @@
 
 
 @cache
-def _fields_of(kind: type) -> dict[str, Any]:
+def _field_types(kind: type) -> dict[str, Any]:
     return get_type_hints(kind)
 
 
--- a/packages/common/src/lacewing_common/bundles/_reader.py
+++ b/packages/common/src/lacewing_common/bundles/_reader.py
@@ -1,4 +1,4 @@
-"""Read bundles that follow each other, looking only at what changed."""
+"""Decode successive bundles, processing only the changed parts."""
 
 from lacewing_common.bundle import Bundle
 from lacewing_common.bundle import Team
@@ -16,22 +16,22 @@
 
 
 class BundleReader:
-    """Decode and check bundles; keep the parts of the last one.
+    """Decode and validate bundles; cache the parts of the last one.
 
-    A roll mostly changes one part of many. Decoding and checking all teams at
-    each would hold the event loop, and with it every stream of the process,
-    for tens of milliseconds.
+    A roll usually changes one of many parts. Decoding and validating all teams
+    on each roll would block the event loop, and with it every stream of the
+    process, for tens of milliseconds.
     """
 
     def __init__(self) -> None:
         self._contents: dict[str, Content] = {}
-        self._clean: set[str] = set()
+        self._valid_digests: set[str] = set()
         self._services: frozenset[str] = frozenset()
 
     def read(self, document: Document) -> Bundle | Refusal:
-        """Return the bundle of a document, checked in full.
+        """Return the fully validated bundle of a document.
 
-        The digests of the parts must have been compared before.
+        The caller must have verified the digests of the parts.
         """
         digests = document.head.parts
         contents: list[Content] = []
@@ -44,36 +44,38 @@
         if isinstance(bundle, Refusal):
             return bundle
         services = frozenset(service.name for service in bundle.services)
-        clean = self._clean if services == self._services else set()
-        if not _is_clean(bundle, digests, contents, clean, services):
-            # The part alone does not tell the path; the whole bundle does.
+        valid_digests = (
+            self._valid_digests if services == self._services else set()
+        )
+        if not _is_valid(bundle, digests, contents, valid_digests, services):
+            # The path of a problem is only known for the whole bundle.
             for problem in check_bundle(bundle):
                 return not_run(Reason.BUNDLE_INVALID, f'bundle: {problem}')
         self._contents = dict(zip(digests, contents, strict=True))
-        self._clean = set(digests)
+        self._valid_digests = set(digests)
         self._services = services
         return bundle
 
 
-def _is_clean(
+def _is_valid(
     bundle: Bundle,
     digests: tuple[str, ...],
     contents: list[Content],
-    clean: set[str],
+    valid_digests: set[str],
     services: frozenset[str],
 ) -> bool:
-    """Check what is new, and what teams of several parts may share."""
+    """Check the new parts, and for team keys shared across parts."""
     for digest, content in zip(digests, contents, strict=True):
-        if digest in clean or not isinstance(content, TeamsPart):
+        if digest in valid_digests or not isinstance(content, TeamsPart):
             continue
         if check_teams(content.teams, services):
             return False
-    if _share_a_key(bundle.teams):
+    if _has_shared_key(bundle.teams):
         return False
     return not check_rest(bundle)
 
 
-def _share_a_key(teams: tuple[Team, ...]) -> bool:
+def _has_shared_key(teams: tuple[Team, ...]) -> bool:
     owners: dict[str, str] = {}
     for team in teams:
         for key_hash in team.key_hashes:
--- a/packages/common/src/lacewing_common/bundles/_sign_off.py
+++ b/packages/common/src/lacewing_common/bundles/_sign_off.py
@@ -1,4 +1,4 @@
-"""Sign bundles off and roll them, each under an operator's name."""
+"""Create and verify the signatures of sign-offs and rolls."""
 
 from enum import Enum
 
@@ -13,13 +13,13 @@
 from lacewing_common.verdict import Reason
 from lacewing_common.verdict import Refusal
 
-_SIGN_OFF = b'lacewing sign-off\n'
-_ROLL = b'lacewing roll\n'
-_SHOWN = 12
+_SIGN_OFF_PREFIX = b'lacewing sign-off\n'
+_ROLL_PREFIX = b'lacewing roll\n'
+_SHOWN_DIGEST_CHARS = 12
 
 
 class SignOffRole(Enum):
-    """Tell why an operator signs."""
+    """Name the role in which an operator signs."""
 
     AUTHOR = 'author'
     APPROVER = 'approver'
@@ -28,7 +28,7 @@
 class SignOff(msgspec.Struct, frozen=True, kw_only=True):
     """Hold one operator's signature over the digest of a bundle.
 
-    ``at`` is the time in ISO 8601, as the operator's machine told it.
+    ``at`` is the ISO 8601 time of the operator's machine.
     """
 
     digest: str
@@ -41,15 +41,16 @@
     def message(self) -> bytes:
         """Return the bytes that the signature covers."""
         unsigned = msgspec.structs.replace(self, signature='')
-        return _SIGN_OFF + msgspec.json.encode(unsigned)
+        return _SIGN_OFF_PREFIX + msgspec.json.encode(unsigned)
 
 
 class Roll(msgspec.Struct, frozen=True, kw_only=True):
-    """Say who put which bundle in force; signed by that operator.
+    """Record which operator activated which bundle, with a signature.
 
     ``previous`` is the digest of the head that this roll replaces, '' for
-    the first. ``nonce`` tells this roll from any other of the same bundle.
-    ``again`` is the number of the earlier roll that a rollback repeats.
+    the first roll. ``nonce`` distinguishes this roll from other rolls of the
+    same bundle. ``again`` is the number of the earlier roll that a rollback
+    repeats, else 0.
     """
 
     number: int
@@ -66,7 +67,7 @@
     def message(self) -> bytes:
         """Return the bytes that the signature covers."""
         unsigned = msgspec.structs.replace(self, signature='')
-        return _ROLL + msgspec.json.encode(unsigned)
+        return _ROLL_PREFIX + msgspec.json.encode(unsigned)
 
 
 def sign_off(
@@ -79,19 +80,19 @@
 
 
 def sign_roll(roll: Roll, key: OperatorKey) -> Roll:
-    """Sign a roll that names the key's operator."""
+    """Sign a roll whose operator is the owner of the key."""
     return msgspec.structs.replace(roll, signature=key.sign(roll.message))
 
 
 def root_trust(operators: tuple[Operator, ...]) -> TrustPart:
-    """Return the trust that stands before the first bundle."""
+    """Return the trust that applies before the first bundle."""
     return TrustPart(operators, Policies())
 
 
 def check_sign_offs(
     sign_offs: tuple[SignOff, ...], digest: str, trust: TrustPart
 ) -> Refusal | None:
-    """Check that a bundle is signed off as the trust in force asks."""
+    """Verify that the sign-offs satisfy the active trust."""
     if not sign_offs:
         return _not_signed('nobody signed it off')
     for each in sign_offs:
@@ -104,15 +105,16 @@
 
 
 def check_roll(roll: Roll, digest: str, trust: TrustPart) -> Refusal | None:
-    """Check that an operator in force rolled this bundle."""
+    """Verify that an operator of the active bundle rolled this one."""
     if roll.digest != digest:
         return _not_signed(
-            f'the roll by {roll.operator!r} is of {roll.digest[:_SHOWN]},'
-            f' not of {digest[:_SHOWN]}'
+            f'the roll by {roll.operator!r} is of'
+            f' {roll.digest[:_SHOWN_DIGEST_CHARS]},'
+            f' not of {digest[:_SHOWN_DIGEST_CHARS]}'
         )
-    operator = _find(trust, roll.operator)
+    operator = _find_operator(trust, roll.operator)
     if operator is None:
-        return _unknown(f'rolled by {roll.operator!r}', trust)
+        return _unknown_operator(f'rolled by {roll.operator!r}', trust)
     if not is_signed(operator, roll.message, roll.signature):
         return _not_signed(
             f'the signature of the roll by {roll.operator!r} is wrong'
@@ -126,12 +128,12 @@
     if signed.digest != digest:
         return _not_signed(
             f'the sign-off by {signed.operator!r} covers'
-            f' {signed.digest[:_SHOWN]}, but the bundle is'
-            f' {digest[:_SHOWN]} by now; sign it again'
+            f' {signed.digest[:_SHOWN_DIGEST_CHARS]}, but the bundle is'
+            f' {digest[:_SHOWN_DIGEST_CHARS]} by now; sign it again'
         )
-    operator = _find(trust, signed.operator)
+    operator = _find_operator(trust, signed.operator)
     if operator is None:
-        return _unknown(f'signed off by {signed.operator!r}', trust)
+        return _unknown_operator(f'signed off by {signed.operator!r}', trust)
     if not is_signed(operator, signed.message, signed.signature):
         return _not_signed(
             f'the signature by {signed.operator!r} was not made with the key'
@@ -143,15 +145,15 @@
 def _check_approver(
     sign_offs: tuple[SignOff, ...], trust: TrustPart
 ) -> Refusal | None:
-    """Ask for two persons and two keys.
+    """Require an author, and an approver with a different key.
 
-    One person listed under two names could approve her own bundle; the
-    names differ then, the keys do not.
+    Keys are compared because one person listed under two names could
+    otherwise approve their own bundle.
     """
     authors: set[str] = set()
     approvers: set[str] = set()
     for signed in sign_offs:
-        operator = _find(trust, signed.operator)
+        operator = _find_operator(trust, signed.operator)
         if operator is None:
             continue
         if signed.role is SignOffRole.AUTHOR:
@@ -167,14 +169,14 @@
     return None
 
 
-def _find(trust: TrustPart, name: str) -> Operator | None:
+def _find_operator(trust: TrustPart, name: str) -> Operator | None:
     for operator in trust.operators:
         if operator.name == name:
             return operator
     return None
 
 
-def _unknown(what: str, trust: TrustPart) -> Refusal:
+def _unknown_operator(what: str, trust: TrustPart) -> Refusal:
     names = ', '.join(operator.name for operator in trust.operators)
     return _not_signed(f'{what}; the operators in force are: {names}')
 
--- a/packages/common/src/lacewing_common/bundles/_signatures.py
+++ b/packages/common/src/lacewing_common/bundles/_signatures.py
@@ -1,4 +1,4 @@
-"""Sign with operators' Ed25519 keys and verify what they signed."""
+"""Create and verify signatures with operators' Ed25519 keys."""
 
 from pathlib import Path
 
@@ -10,20 +10,20 @@
 from lacewing_common.bundle import Operator
 from lacewing_common.settings import SettingsError
 
-_OWNER_ONLY = 0o600
+_OWNER_ONLY_MODE = 0o600
 
 
 class OperatorKey(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Hold an operator's name and private key (hex), as in the key file."""
+    """Hold an operator's name and hex private key, as in the key file."""
 
     operator: str
     private_key: str
 
     @property
     def public(self) -> Operator:
-        """Return what a bundle or the settings list of this operator."""
+        """Return the operator entry for a bundle or the settings."""
         key = self._private.public_key()
         return Operator(name=self.operator, public_key=key_hex(key))
 
@@ -39,7 +39,7 @@
 
 
 def new_key(operator: str) -> OperatorKey:
-    """Make a key for an operator."""
+    """Generate a key for an operator."""
     private = Ed25519PrivateKey.generate()
     return OperatorKey(
         operator=operator, private_key=private.private_bytes_raw().hex()
@@ -52,13 +52,13 @@
 
 
 def write_key(path: Path, key: OperatorKey) -> None:
-    """Write a key file that only its owner can read; never over another."""
-    path.touch(mode=_OWNER_ONLY, exist_ok=False)
+    """Write a key file readable by its owner only; never overwrite one."""
+    path.touch(mode=_OWNER_ONLY_MODE, exist_ok=False)
     path.write_bytes(msgspec.json.encode(key) + b'\n')
 
 
 def read_key(path: Path) -> OperatorKey:
-    """Read a key file; raise SettingsError naming the fault."""
+    """Read a key file; raise SettingsError if it is invalid."""
     try:
         key = msgspec.json.decode(path.read_bytes(), type=OperatorKey)
         _ = key.public
@@ -68,7 +68,7 @@
 
 
 def is_signed(operator: Operator, message: bytes, signature: str) -> bool:
-    """Tell whether an operator's key made a signature (hex)."""
+    """Return whether a hex signature was made with an operator's key."""
     try:
         key = Ed25519PublicKey.from_public_bytes(
             bytes.fromhex(operator.public_key)
--- a/packages/common/src/lacewing_common/bundles/_successor.py
+++ b/packages/common/src/lacewing_common/bundles/_successor.py
@@ -1,4 +1,4 @@
-"""Make the document that follows the one in force."""
+"""Create the document that replaces the active one."""
 
 from dataclasses import dataclass
 
@@ -22,15 +22,15 @@
 
 @dataclass(frozen=True)
 class RollOrder:
-    """Hold what an operator wants to put in force.
+    """Hold the bundle that an operator wants to activate.
 
-    ``nonce`` is new for each order and kept with it, so that a repeated
-    order is known for what it is. ``at`` is the time in ISO 8601. ``again``
-    is the number of the roll that a rollback repeats, else 0. ``above`` is
-    a number that the fleet has in force though the platform, restored from
-    a copy, holds an earlier one; the roll gets a higher number than both.
-    ``trust_since`` drops changes of operators before that roll from the
-    proof; the root operators of all settings must have signed a later one.
+    ``nonce`` is unique for each order and stored with it, to recognize a
+    repeated order. ``at`` is the time in ISO 8601. ``again`` is the number
+    of the roll that a rollback repeats, else 0. ``above`` is a number that
+    is active in the fleet while the platform, restored from an older
+    snapshot, has an earlier one; the roll gets a higher number than both.
+    ``trust_since`` drops operator changes before that roll from the proof;
+    the root operators of all settings must have signed a later change.
     """
 
     parts: tuple[bytes, ...]
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Predecessor:
-    """Hold what the next roll needs of the one in force."""
+    """Hold the head and the trust part of the active roll."""
 
     head: DocumentHead
     trust: bytes
@@ -58,19 +58,21 @@
 def make_successor(
     previous: Predecessor | None, order: RollOrder, key: OperatorKey
 ) -> Document | Refusal:
-    """Make the document of an order, with a higher number, signed."""
+    """Create the signed document of an order, with a higher number."""
     links: tuple[TrustLink, ...] = ()
     number = order.above + 1
     previous_head = ''
     previous_bundle = ''
     if previous is not None:
-        after = links_after(previous.head, previous.trust, order.trust_since)
-        if isinstance(after, Refusal):
-            return after
+        next_links = links_after(
+            previous.head, previous.trust, order.trust_since
+        )
+        if isinstance(next_links, Refusal):
+            return next_links
         proof = read_proof(previous.head)
         if isinstance(proof, Refusal):
             return proof
-        links = after
+        links = next_links
         number = max(previous.head.version, order.above) + 1
         previous_head = head_digest(previous.head)
         previous_bundle = proof.roll.digest
@@ -97,5 +99,5 @@
 
 
 def head_digest(head: DocumentHead) -> str:
-    """Return the digest that names a head in the history."""
+    """Return the digest that identifies a head in the history."""
     return part_digest(encode_head(head))
--- a/packages/common/src/lacewing_common/bundles/_validator.py
+++ b/packages/common/src/lacewing_common/bundles/_validator.py
@@ -1,4 +1,4 @@
-"""Check a bundle before a process uses it or offers it to a peer."""
+"""Validate a bundle before it is used or offered to a peer."""
 
 from lacewing_common.bundle import Operator
 from lacewing_common.bundle import RolledBundle
@@ -22,23 +22,23 @@
 
 
 class BundleValidator:
-    """Be the ``DocumentValidator`` of bundles.
+    """Implement ``DocumentValidator`` for bundles.
 
-    ``remember`` belongs in the ``on_change`` of the documents. Without it a
-    key that operators have withdrawn could still sign: its holder would
-    offer a proof that ends before the withdrawal, under a higher number, and
-    a process would show that number with nobody having rolled it. A process
-    that remembers refuses each proof without the changes it has seen.
+    Call ``record_trust`` from the ``on_change`` of the documents. Without it,
+    a revoked operator key could still sign: its holder could offer a proof
+    that ends before the revocation, under a higher number, and a process
+    would report a number that nobody has rolled. With it, a process refuses
+    each proof that lacks the operator changes it has seen.
     """
 
     def __init__(self, root_operators: tuple[Operator, ...]) -> None:
         self._root = root_trust(root_operators)
-        self._link: TrustLink | None = None
-        self._number = 0
+        self._last_link: TrustLink | None = None
+        self._last_number = 0
         self._reader = BundleReader()
 
     def __call__(self, document: Document) -> Refusal | None:
-        """Return why a bundle is not acceptable, or None."""
+        """Return the reason to refuse a bundle, or None."""
         refusal = self.check_signatures(document)
         if refusal is not None:
             return refusal
@@ -46,22 +46,24 @@
         return bundle if isinstance(bundle, Refusal) else None
 
     def check_signatures(self, document: Document) -> Refusal | None:
-        """Return why a bundle is not what operators rolled, or None."""
+        """Return a refusal if operators did not roll the bundle."""
         digests = tuple(part_digest(part) for part in document.parts)
         if digests != document.head.parts:
-            return _refuse('the parts do not match the digests of the head')
+            return _invalid_bundle(
+                'the parts do not match the digests of the head'
+            )
         return self.check_head(document.head)
 
     def check_head(self, head: DocumentHead) -> Refusal | None:
-        """Return why a head is not what operators rolled, or None."""
+        """Return a refusal if operators did not roll the head."""
         if head.document != BUNDLE:
-            return _refuse(f'unexpected document {head.document}')
-        if self._link is not None and head.version > self._number:
-            return check_proof_after(head, self._link)
+            return _invalid_bundle(f'unexpected document {head.document}')
+        if self._last_link is not None and head.version > self._last_number:
+            return check_proof_after(head, self._last_link)
         return check_proof(head, self._root)
 
     def assemble(self, document: Document) -> RolledBundle | Refusal:
-        """Return the bundle of a document that was let pass."""
+        """Return the bundle of a document that was validated before."""
         contents = contents_of(document.head.parts)
         if isinstance(contents, Refusal):
             return contents
@@ -71,13 +73,16 @@
         return RolledBundle(document.head.version, contents.digest, bundle)
 
     def record_trust(self, document: Document) -> None:
-        """Keep the last change of operators of a bundle now in force."""
+        """Remember the last operator change of the active bundle."""
         links = links_after(document.head, document.parts[0])
-        if isinstance(links, Refusal) or document.head.version < self._number:
+        if (
+            isinstance(links, Refusal)
+            or document.head.version < self._last_number
+        ):
             return
-        self._number = document.head.version
-        self._link = links[-1]
+        self._last_number = document.head.version
+        self._last_link = links[-1]
 
 
-def _refuse(message: str) -> Refusal:
+def _invalid_bundle(message: str) -> Refusal:
     return not_run(Reason.BUNDLE_INVALID, message)
--- a/packages/common/src/lacewing_common/rolls/__init__.py
+++ b/packages/common/src/lacewing_common/rolls/__init__.py
@@ -1,4 +1,4 @@
-"""Roll bundles at the platform and read their history."""
+"""Roll bundles at the platform and read the roll history."""
 
 from lacewing_common.rolls._diff import diff_bundles
 from lacewing_common.rolls._diff import Difference
--- a/packages/common/src/lacewing_common/rolls/_diff.py
+++ b/packages/common/src/lacewing_common/rolls/_diff.py
@@ -1,4 +1,4 @@
-"""Tell what differs between two bundles, for people."""
+"""Compare two bundles in a human-readable form."""
 
 from typing import Any
 
@@ -6,13 +6,13 @@
 
 from lacewing_common.bundle import Bundle
 
-_HIDDEN = 'prefix_secret'
+_SECRET_PATH = 'prefix_secret'
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Hold one difference; an absent side is ''.
+    """Hold one difference; a missing value is ''.
 
-    ``path`` names elements by their name, such as ``teams.brno.share``.
+    ``path`` refers to elements by name, for example ``teams.brno.share``.
     """
 
     path: str
@@ -28,18 +28,22 @@
 
 
 def diff_bundles(before: Bundle, after: Bundle) -> tuple[Difference, ...]:
-    """Return the differences in the order of their paths."""
+    """Return the differences, sorted by path."""
     old = _flatten(before)
     new = _flatten(after)
-    found: list[Difference] = []
+    differences: list[Difference] = []
     for path in sorted(old.keys() | new.keys()):
         if old.get(path) == new.get(path):
             continue
-        if path == _HIDDEN:
-            found.append(Difference(path, '(secret)', '(another secret)'))
+        if path == _SECRET_PATH:
+            differences.append(
+                Difference(path, '(secret)', '(another secret)')
+            )
             continue
-        found.append(Difference(path, old.get(path, ''), new.get(path, '')))
-    return tuple(found)
+        differences.append(
+            Difference(path, old.get(path, ''), new.get(path, ''))
+        )
+    return tuple(differences)
 
 
 def _flatten(bundle: Bundle) -> dict[str, str]:
--- a/packages/common/src/lacewing_common/rolls/_errors.py
+++ b/packages/common/src/lacewing_common/rolls/_errors.py
@@ -1,4 +1,4 @@
-"""Say why a bundle was not read or not rolled."""
+"""Describe why a bundle could not be read or rolled."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,10 +8,10 @@
 
 
 class RollFault(Enum):
-    """Tell what became of a call.
+    """Classify the outcome of a failed call.
 
-    UNKNOWN: the roll may have taken effect; rolling the same order again
-    finds out and never rolls twice. All others: surely without effect.
+    UNKNOWN: the roll may have taken effect; repeating the same order resolves
+    this and never rolls twice. With all others, the call had no effect.
     """
 
     CONFLICT = 'conflict'
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True)
 class RollError:
-    """Report a failed call to its operator."""
+    """Describe a failed call to the operator."""
 
     fault: RollFault
     message: str
 
 
 def roll_error_from(error: StoreError, what: str) -> RollError:
-    """Report a read or an ineffective write that the platform failed."""
+    """Convert the error of a read or of a write without effect."""
     fault = RollFault.UNAVAILABLE
     if error.fault is StoreFault.NOT_FOUND:
         fault = RollFault.NOT_FOUND
--- a/packages/common/src/lacewing_common/rolls/_parts.py
+++ b/packages/common/src/lacewing_common/rolls/_parts.py
@@ -1,4 +1,4 @@
-"""Write the parts of a bundle, and mend those that the platform lost."""
+"""Write the parts of a bundle, and repair lost or changed ones."""
 
 import asyncio
 from collections.abc import Mapping
@@ -13,19 +13,19 @@
 from lacewing_common.store import StoreError
 from lacewing_common.store import StoreFault
 
-_CALLS_AT_ONCE = 16
+_MAX_CONCURRENT_CALLS = 16
 
 
 class PartWriter:
-    """Write immutable parts by their digest."""
+    """Write immutable parts under their digest."""
 
     def __init__(
         self, store: ObjectStore, retry_policy: RetryPolicy, random: Random
     ) -> None:
         self._store = store
-        self._patience = retry_policy
+        self._retry_policy = retry_policy
         self._random = random
-        self._slots = asyncio.Semaphore(_CALLS_AT_ONCE)
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
 
     async def write(self, parts: Mapping[str, bytes]) -> StoreError | None:
         """Write new parts."""
@@ -36,24 +36,28 @@
         return None
 
     async def repair(self, parts: Mapping[str, bytes]) -> StoreError | None:
-        """Write what is missing, or changed, of parts rolled before.
+        """Write missing or changed parts of an earlier roll again.
 
-        The next head names them again. Were they taken to be there, a roll
-        could take effect that no process can read; and were it refused for
-        a missing part, nobody could roll until somebody had restored it by
-        hand.
+        The next head refers to these parts as well. Without the check, a roll
+        could take effect that no process can read. If a missing part were an
+        error instead, no operator could roll until somebody had restored the
+        part by hand.
         """
-        calls = [self._mend(digest, part) for digest, part in parts.items()]
+        calls = [
+            self._repair_part(digest, part) for digest, part in parts.items()
+        ]
         for error in await asyncio.gather(*calls):
             if error is not None:
                 return error
         return None
 
-    async def _mend(self, digest: str, part: bytes) -> StoreError | None:
+    async def _repair_part(
+        self, digest: str, part: bytes
+    ) -> StoreError | None:
         async with self._slots:
             stored = await call_with_retries(
                 lambda: self._store.get(PARTS, digest),
-                self._patience,
+                self._retry_policy,
                 self._random,
             )
             if isinstance(stored, StoreError):
@@ -69,12 +73,12 @@
     ) -> StoreError | None:
         answer = await call_with_retries(
             lambda: self._store.put(PARTS, stored.name, part, stored.version),
-            self._patience,
+            self._retry_policy,
             self._random,
         )
         return answer if isinstance(answer, StoreError) else None
 
     async def _put(self, digest: str, part: bytes) -> StoreError | None:
         return await put_part(
-            self._store, PARTS, digest, part, self._patience, self._random
+            self._store, PARTS, digest, part, self._retry_policy, self._random
         )
--- a/packages/common/src/lacewing_common/rolls/_reads.py
+++ b/packages/common/src/lacewing_common/rolls/_reads.py
@@ -1,4 +1,4 @@
-"""Read the bundle in force and its history from the platform."""
+"""Read the active bundle and the roll history from the platform."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -30,15 +30,15 @@
 from lacewing_common.verdict import Refusal
 
 HEAD_NAME = head_object(BUNDLE)
-_READS_AT_ONCE = 16
-_NO_HEAD = 'no bundle has been rolled yet'
+_MAX_CONCURRENT_READS = 16
+_NO_HEAD_MESSAGE = 'no bundle has been rolled yet'
 
 
 @dataclass(frozen=True)
 class StoredHead:
-    """Hold a head, its proof, its bytes and the version of its object.
+    """Hold a head with its proof, encoded bytes and object version.
 
-    ``version`` is 0 for a head of the history.
+    ``version`` is 0 for a head that was read from the history.
     """
 
     head: DocumentHead
@@ -48,12 +48,12 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest that names this head in the history."""
+        """Return the digest that identifies this head in the history."""
         return part_digest(self.value)
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell of one roll: who put which bundle in force, and who signed it.
+    """Describe one roll: the bundle, its operator and its signers.
 
     ``again`` is the number of the roll that a rollback repeats, else 0.
     """
@@ -69,46 +69,46 @@
 
 
 class BundleHistory:
-    """Query the bundles of the platform; check each before it is given."""
+    """Query the bundles of the platform; validate each one returned."""
 
     def __init__(
         self,
         store: ObjectStore,
-        guard: BundleValidator,
+        validator: BundleValidator,
         retry_policy: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
-        self._guard = guard
-        self._patience = retry_policy or RetryPolicy()
+        self._validator = validator
+        self._retry_policy = retry_policy or RetryPolicy()
         self._random = random or Random()
-        self._slots = asyncio.Semaphore(_READS_AT_ONCE)
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
 
     async def head(self) -> StoredHead | RollError:
-        """Read the head in force, without its parts; check its signatures.
+        """Read the active head without its parts; verify its signatures.
 
-        Each earlier head is named by its digest in the signed roll of the
-        next, so that the whole history is what operators signed.
+        The signed roll of each head contains the digest of the previous head,
+        so that the signatures cover the whole history.
         """
         stored = await self._get(HEADS, HEAD_NAME)
         if isinstance(stored, StoreError):
             if stored.fault is StoreFault.NOT_FOUND:
-                return RollError(RollFault.NOT_FOUND, _NO_HEAD)
+                return RollError(RollFault.NOT_FOUND, _NO_HEAD_MESSAGE)
             return roll_error_from(stored, 'the head of the bundle')
         read = _read_head(stored.value, stored.version)
         if isinstance(read, RollError):
             return read
-        refusal = self._guard.check_head(read.head)
+        refusal = self._validator.check_head(read.head)
         if refusal is not None:
             return RollError(RollFault.REFUSED, refusal.message)
         return read
 
     async def document(self, stored: StoredHead) -> Document | RollError:
-        """Read the parts of a head and check the whole."""
+        """Read the parts of a head and validate the document."""
         document = await self.signed_document(stored)
         if isinstance(document, RollError):
             return document
-        refusal = self._guard(document)
+        refusal = self._validator(document)
         if refusal is not None:
             return RollError(RollFault.REFUSED, refusal.message)
         return document
@@ -116,19 +116,19 @@
     async def signed_document(
         self, stored: StoredHead
     ) -> Document | RollError:
-        """Read the parts of a head and check the signatures alone.
+        """Read the parts of a head and verify only the signatures.
 
-        For operators who replace a bundle with problems, such as one that
-        an earlier release did not see anything wrong in.
+        This lets operators replace an invalid bundle, for example one that
+        passed the checks of an earlier release.
         """
-        calls = [self._part(digest) for digest in stored.head.parts]
+        calls = [self._read_part(digest) for digest in stored.head.parts]
         parts: list[bytes] = []
         for part in await asyncio.gather(*calls):
             if isinstance(part, RollError):
                 return part
             parts.append(part)
         document = Document(stored.head, tuple(parts))
-        refusal = self._guard.check_signatures(document)
+        refusal = self._validator.check_signatures(document)
         if refusal is not None:
             return RollError(RollFault.REFUSED, refusal.message)
         return document
@@ -138,14 +138,15 @@
     ) -> bytes | RollError:
         """Read the trust part of a head.
 
-        ``known`` is one that the caller has; used if it is the same.
+        ``known`` is a part that the caller has; it is returned without a
+        read if its digest matches.
         """
         if part_digest(known) == stored.head.parts[0]:
             return known
-        return await self._part(stored.head.parts[0])
+        return await self._read_part(stored.head.parts[0])
 
     async def head_at(self, number: int) -> StoredHead | RollError:
-        """Read the head of one roll, following the chain backwards."""
+        """Read the head of one roll by following the chain backwards."""
         stored = await self.head()
         while isinstance(stored, StoredHead):
             if stored.head.version == number:
@@ -158,43 +159,43 @@
         return stored
 
     async def head_after(self, number: int) -> StoredHead | RollError:
-        """Read the head that replaced the one of roll ``number``.
+        """Read the head that replaced the head of roll ``number``.
 
-        Numbers may leave gaps, see ``RollOrder.above``.
+        Numbers may have gaps, see ``RollOrder.above``.
         """
         stored = await self.head()
-        found: StoredHead | None = None
+        next_head: StoredHead | None = None
         while isinstance(stored, StoredHead) and stored.head.version > number:
-            found = stored
+            next_head = stored
             if not stored.proof.roll.previous:
                 break
             stored = await self.previous_head(stored)
         if isinstance(stored, RollError):
             return stored
-        if found is None:
+        if next_head is None:
             return RollError(
                 RollFault.NOT_FOUND, f'there is no roll after {number}'
             )
-        return found
+        return next_head
 
     async def previous_head(
         self, stored: StoredHead
     ) -> StoredHead | RollError:
-        """Read the head that a head replaced."""
-        value = await self._part(stored.proof.roll.previous)
+        """Read the head that the given head replaced."""
+        value = await self._read_part(stored.proof.roll.previous)
         if isinstance(value, RollError):
             return value
         return _read_head(value, 0)
 
     async def rolls(self) -> AsyncIterator[HistoryEntry | RollError]:
-        """Yield all rolls, newest first; end with the error of a read."""
+        """Yield all rolls, newest first; a read error ends the sequence."""
         stored = await self.head()
         if isinstance(stored, RollError):
             if stored.fault is not RollFault.NOT_FOUND:
                 yield stored
             return
         while isinstance(stored, StoredHead):
-            yield _entry(stored)
+            yield _history_entry(stored)
             if not stored.proof.roll.previous:
                 return
             stored = await self.previous_head(stored)
@@ -213,7 +214,7 @@
                 break
         return tuple(entries)
 
-    async def _part(self, digest: str) -> bytes | RollError:
+    async def _read_part(self, digest: str) -> bytes | RollError:
         stored = await self._get(PARTS, digest)
         if isinstance(stored, StoreError):
             return roll_error_from(stored, f'part {digest}')
@@ -227,7 +228,7 @@
         async with self._slots:
             return await call_with_retries(
                 lambda: self._store.get(kind, name),
-                self._patience,
+                self._retry_policy,
                 self._random,
             )
 
@@ -242,7 +243,7 @@
     return StoredHead(head, proof, value, version)
 
 
-def _entry(stored: StoredHead) -> HistoryEntry:
+def _history_entry(stored: StoredHead) -> HistoryEntry:
     roll = stored.proof.roll
     return HistoryEntry(
         number=roll.number,
--- a/packages/common/src/lacewing_common/rolls/_rollback.py
+++ b/packages/common/src/lacewing_common/rolls/_rollback.py
@@ -1,4 +1,4 @@
-"""Make the order that puts an earlier bundle in force again."""
+"""Create the order that activates an earlier bundle again."""
 
 from lacewing_common.bundles import read_trust
 from lacewing_common.bundles import RollOrder
@@ -10,37 +10,42 @@
 
 
 async def make_rollback(
-    reads: BundleHistory, now: StoredHead, number: int, at: str, nonce: str
+    history: BundleHistory,
+    current: StoredHead,
+    number: int,
+    at: str,
+    nonce: str,
 ) -> RollOrder | RollError:
-    """Make the order of a rollback from the roll in force to ``number``.
+    """Create the order of a rollback from the active roll to ``number``.
 
-    A rollback must not bring back a key that operators have withdrawn since:
-    they would look at teams and models, and a stolen key could sign again.
+    A rollback must not restore a key that was revoked since: operators would
+    look at teams and models only, and a stolen key could sign again.
     """
-    earlier = await reads.head_at(number)
+    earlier = await history.head_at(number)
     if isinstance(earlier, RollError):
         return earlier
-    if earlier.proof.roll.digest == now.proof.roll.digest:
+    if earlier.proof.roll.digest == current.proof.roll.digest:
         return RollError(
             RollFault.CONFLICT,
-            f'roll {now.head.version} already has the bundle of roll {number}',
+            f'roll {current.head.version} already has the bundle of roll'
+            f' {number}',
         )
-    before = await reads.document(earlier)
-    if isinstance(before, RollError):
-        return before
-    trust = await reads.trust(now)
+    earlier_document = await history.document(earlier)
+    if isinstance(earlier_document, RollError):
+        return earlier_document
+    trust = await history.trust(current)
     if isinstance(trust, RollError):
         return trust
-    returning = _returning_operators(before.parts[0], trust)
-    if returning:
+    revoked = _revoked_operators(earlier_document.parts[0], trust)
+    if revoked:
         return RollError(
             RollFault.REFUSED,
             f'roll {number} lists keys that were withdrawn since:'
-            f' {", ".join(returning)}; take its contents with "bundle show'
+            f' {", ".join(revoked)}; take its contents with "bundle show'
             f' --number {number}", keep the operators of now and sign',
         )
     return RollOrder(
-        parts=before.parts,
+        parts=earlier_document.parts,
         sign_offs=earlier.proof.sign_offs,
         at=at,
         nonce=nonce,
@@ -48,14 +53,18 @@
     )
 
 
-def _returning_operators(before: bytes, present: bytes) -> tuple[str, ...]:
-    old = read_trust(before)
-    new = read_trust(present)
-    if isinstance(old, Refusal) or isinstance(new, Refusal):
+def _revoked_operators(
+    earlier_part: bytes, current_part: bytes
+) -> tuple[str, ...]:
+    earlier_trust = read_trust(earlier_part)
+    current_trust = read_trust(current_part)
+    if isinstance(earlier_trust, Refusal) or isinstance(
+        current_trust, Refusal
+    ):
         return ()
-    valid = {operator.public_key for operator in new.operators}
+    valid = {operator.public_key for operator in current_trust.operators}
     names: list[str] = []
-    for operator in old.operators:
+    for operator in earlier_trust.operators:
         if operator.public_key not in valid:
             names.append(operator.name)
     return tuple(names)
--- a/packages/common/src/lacewing_common/rolls/_writes.py
+++ b/packages/common/src/lacewing_common/rolls/_writes.py
@@ -1,4 +1,4 @@
-"""Put a bundle in force: once, upon the roll that it was edited from."""
+"""Activate a bundle once, on top of the roll it was edited from."""
 
 from dataclasses import dataclass
 from random import Random
@@ -30,14 +30,14 @@
 from lacewing_common.store import StoreFault
 from lacewing_common.verdict import Refusal
 
-_SHOWN_DIFFERENCES = 5
+_MAX_SHOWN_DIFFERENCES = 5
 
 
 @dataclass(frozen=True)
 class RollResult:
-    """Report a roll in force; ``written`` counts the new parts.
+    """Describe a roll that took effect; ``written`` counts new parts.
 
-    ``document`` is None when an earlier try had taken effect.
+    ``document`` is None if an earlier attempt had already taken effect.
     """
 
     number: int
@@ -52,40 +52,40 @@
     def __init__(
         self,
         store: ObjectStore,
-        guard: BundleValidator,
+        validator: BundleValidator,
         retry_policy: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
-        self._guard = guard
-        self._patience = retry_policy or RetryPolicy()
+        self._validator = validator
+        self._retry_policy = retry_policy or RetryPolicy()
         self._random = random or Random()
-        self._reads = BundleHistory(store, guard, retry_policy, random)
-        self._parts = PartWriter(store, self._patience, self._random)
+        self._history = BundleHistory(store, validator, retry_policy, random)
+        self._parts = PartWriter(store, self._retry_policy, self._random)
 
     async def roll(
         self, order: RollOrder, base: int, key: OperatorKey
     ) -> RollResult | RollError:
-        """Roll an order made from the bundle of roll ``base``, 0: none.
+        """Roll an order that is based on roll ``base``, 0 for none.
 
-        The same order may be rolled again after UNKNOWN or a crash: it is
-        found by its nonce and does not take effect twice.
+        The same order can be repeated after UNKNOWN or a crash: it is
+        identified by its nonce and does not take effect twice.
         """
         stored = await self._read_base(base)
         if isinstance(stored, RollError):
             return stored
         if stored is not None and stored.head.version != base:
-            return await self._lost_or_done(order, base, stored)
+            return await self._resolve_order(order, base, stored)
         previous: Predecessor | None = None
         if stored is not None:
-            trust = await self._reads.trust(stored, order.parts[0])
+            trust = await self._history.trust(stored, order.parts[0])
             if isinstance(trust, RollError):
                 return trust
             previous = Predecessor(stored.head, trust)
         document = make_successor(previous, order, key)
         if isinstance(document, Refusal):
             return RollError(RollFault.REFUSED, document.message)
-        refusal = self._guard(document)
+        refusal = self._validator(document)
         if refusal is not None:
             return RollError(RollFault.REFUSED, refusal.message)
         written = await self._write_parts(document, stored)
@@ -94,7 +94,7 @@
         return await self._write_head(document, order, stored, written)
 
     async def _read_base(self, base: int) -> StoredHead | None | RollError:
-        stored = await self._reads.head()
+        stored = await self._history.head()
         if isinstance(stored, StoredHead):
             return stored
         if stored.fault is not RollFault.NOT_FOUND:
@@ -110,24 +110,24 @@
     async def _write_parts(
         self, document: Document, stored: StoredHead | None
     ) -> int | RollError:
-        """Write the new parts, and the head to be replaced, to the history.
+        """Write the new parts, and archive the head that is replaced.
 
-        Both come before the head: a head whose parts are missing could be
-        used by nobody, and a replaced head not kept would break the chain.
+        Both are written before the new head: no process could use a head with
+        missing parts, and losing a replaced head would break the chain.
         """
-        wanted = dict(zip(document.head.parts, document.parts, strict=True))
-        shared: dict[str, bytes] = {}
+        new_parts = dict(zip(document.head.parts, document.parts, strict=True))
+        unchanged_parts: dict[str, bytes] = {}
         if stored is not None:
             for digest in stored.head.parts:
-                if digest in wanted:
-                    shared[digest] = wanted.pop(digest)
-            wanted[stored.digest] = stored.value
-        error = await self._parts.write(wanted)
+                if digest in new_parts:
+                    unchanged_parts[digest] = new_parts.pop(digest)
+            new_parts[stored.digest] = stored.value
+        error = await self._parts.write(new_parts)
         if error is None:
-            error = await self._parts.repair(shared)
+            error = await self._parts.repair(unchanged_parts)
         if error is not None:
             return roll_error_from(error, 'the parts of the bundle')
-        return len(wanted)
+        return len(new_parts)
 
     async def _write_head(
         self,
@@ -139,9 +139,9 @@
         expect = MUST_NOT_EXIST if stored is None else stored.version
         value = encode_head(document.head)
         policy = ResolvePolicy(
-            self._patience.give_up_after_s,
-            self._patience.backoff_base_s,
-            self._patience.backoff_cap_s,
+            self._retry_policy.give_up_after_s,
+            self._retry_policy.backoff_base_s,
+            self._retry_policy.backoff_cap_s,
         )
         answer = await call_with_retries(
             lambda: put_with_resolution(
@@ -153,7 +153,7 @@
                 policy,
                 self._random,
             ),
-            self._patience,
+            self._retry_policy,
             self._random,
         )
         number = document.head.version
@@ -161,62 +161,62 @@
             return RollResult(number, order.digest, written, document)
         if answer.fault not in (StoreFault.CONFLICT, StoreFault.UNKNOWN):
             return roll_error_from(answer, 'the head of the bundle')
-        now = await self._reads.head()
-        if isinstance(now, RollError) or now.head.version < number:
+        current = await self._history.head()
+        if isinstance(current, RollError) or current.head.version < number:
             return RollError(
                 RollFault.UNKNOWN,
                 f'whether roll {number} took effect is not known:'
                 f' {answer.message}; run the same command again',
             )
         base = 0 if stored is None else stored.head.version
-        return await self._lost_or_done(order, base, now)
+        return await self._resolve_order(order, base, current)
 
-    async def _lost_or_done(
-        self, order: RollOrder, base: int, now: StoredHead
+    async def _resolve_order(
+        self, order: RollOrder, base: int, current: StoredHead
     ) -> RollResult | RollError:
-        """Find out whose the roll after ``base`` is.
+        """Determine whether this order is the roll after ``base``.
 
-        One head alone replaced that of ``base``, so that its nonce decides
-        whether this order took effect.
+        Exactly one head replaced that of ``base``, so its nonce shows whether
+        this order took effect.
         """
-        if now.head.version < base:
+        if current.head.version < base:
             return RollError(
                 RollFault.CONFLICT,
-                f'roll {now.head.version} is in force, below roll {base} that'
-                ' the bundle was edited from',
+                f'roll {current.head.version} is in force, below roll {base}'
+                ' that the bundle was edited from',
             )
-        next_head = await self._reads.head_after(base)
+        next_head = await self._history.head_after(base)
         if isinstance(next_head, RollError):
             return RollError(RollFault.UNKNOWN, next_head.message)
         roll = next_head.proof.roll
         if roll.nonce == order.nonce and roll.digest == order.digest:
             return RollResult(roll.number, order.digest, 0)
-        return await self._conflict(order, base, now)
+        return await self._describe_conflict(order, base, current)
 
-    async def _conflict(
-        self, order: RollOrder, base: int, now: StoredHead
+    async def _describe_conflict(
+        self, order: RollOrder, base: int, current: StoredHead
     ) -> RollError:
-        roll = now.proof.roll
-        opening = (
+        roll = current.proof.roll
+        description = (
             f'roll {roll.number} by {roll.operator!r} at {roll.at} is in'
             f' force; this bundle was edited from roll {base}'
         )
-        theirs = await self._reads.signed_document(now)
-        if isinstance(theirs, RollError):
-            return RollError(RollFault.CONFLICT, opening)
-        their_bundle = join(theirs.parts)
+        active_document = await self._history.signed_document(current)
+        if isinstance(active_document, RollError):
+            return RollError(RollFault.CONFLICT, description)
+        active_bundle = join(active_document.parts)
         bundle = join(order.parts)
-        if isinstance(their_bundle, Refusal) or isinstance(bundle, Refusal):
-            return RollError(RollFault.CONFLICT, opening)
-        lines = [str(each) for each in diff_bundles(their_bundle, bundle)]
+        if isinstance(active_bundle, Refusal) or isinstance(bundle, Refusal):
+            return RollError(RollFault.CONFLICT, description)
+        lines = [str(each) for each in diff_bundles(active_bundle, bundle)]
         if not lines:
             return RollError(
-                RollFault.CONFLICT, f'{opening}; it has the same contents'
+                RollFault.CONFLICT, f'{description}; it has the same contents'
             )
-        shown = '; '.join(lines[:_SHOWN_DIFFERENCES])
-        more = len(lines) - _SHOWN_DIFFERENCES
-        if more > 0:
-            shown = f'{shown}; and {more} more'
+        summary = '; '.join(lines[:_MAX_SHOWN_DIFFERENCES])
+        hidden_count = len(lines) - _MAX_SHOWN_DIFFERENCES
+        if hidden_count > 0:
+            summary = f'{summary}; and {hidden_count} more'
         return RollError(
-            RollFault.CONFLICT, f'{opening}; theirs -> yours: {shown}'
+            RollFault.CONFLICT, f'{description}; theirs -> yours: {summary}'
         )
