--- a/features/bundle.feature
+++ b/features/bundle.feature
@@ -1,4 +1,4 @@
-Feature: One bundle, signed off by named operators
+Feature: Bundles that are signed off by listed operators
 
   Scenario: A signed bundle is used
     Given a bundle by the operators "ana, bob"
@@ -9,38 +9,37 @@
     And "ana" rolls it
     Then the process uses roll 2
 
-  Scenario: An edit voids the sign-off
-    # Symptom: a change that nobody looked at is in force. Sequence: ana signs,
-    # the file is edited, it is rolled. Cause: a sign-off that does not cover
-    # the contents.
+  Scenario: An edit invalidates the sign-off
+    # Guards against activating contents that nobody reviewed: a signed file is
+    # edited and rolled, and the sign-off does not cover the contents.
     Given a bundle by the operators "ana, bob"
     When "ana" signs as "author"
     And the share of a team becomes 2
     And "ana" rolls it
     Then the process refuses it: "sign it again"
 
-  Scenario: Nobody signed
+  Scenario: A bundle without a sign-off is refused
     Given a bundle by the operators "ana, bob"
     When "ana" rolls it
     Then the process refuses it: "nobody signed it off"
 
-  Scenario: A stranger signs or rolls
-    # Symptom: a person without the right changes the fleet. Sequence: eve signs
-    # with a key of her own, or rolls what ana signed. Cause: signatures
-    # checked for being valid, not for whose they are.
+  Scenario: An unlisted operator signs and rolls
+    # Guards against signatures that are only checked for validity, not for the
+    # signer: a person who is no operator signs with a key of her own, or rolls
+    # what an operator signed.
     Given a bundle by the operators "ana, bob"
     When "eve" signs and rolls it
     Then the process refuses it: "signed off by 'eve'; the operators in force are: ana, bob"
 
-  Scenario: A stranger rolls what an operator signed
+  Scenario: An unlisted operator rolls a bundle that an operator signed
     Given a bundle by the operators "ana, bob"
     When "ana" signs as "author"
     And "eve" rolls it
     Then the process refuses it: "rolled by 'eve'"
 
-  Scenario: Author and approver are two persons
+  Scenario: Author and approver must differ
     Given a bundle by the operators "ana, bob"
-    And the policy asks for a separate approver
+    And the policy requires a separate approver
     When "ana" signs and rolls it
     Then the process uses roll 1
     When the share of a team becomes 2
@@ -52,18 +51,17 @@
     And "ana" rolls it
     Then the process uses roll 2
 
-  Scenario: A bundle cannot excuse itself from the policy in force
-    # Symptom: one person changes the fleet alone though the policy asks for
-    # two. Sequence: she turns the policy off in the bundle that she signs
-    # alone. Cause: a bundle judged by its own policy.
+  Scenario: A bundle cannot disable the active policy for itself
+    # Guards against checking a bundle by its own policy: one person could turn
+    # the two-person policy off in a bundle that she alone signs.
     Given a bundle by the operators "ana, bob"
-    And the policy asks for a separate approver
+    And the policy requires a separate approver
     When "ana" signs and rolls it
-    And the policy no longer asks for an approver
+    And the policy no longer requires an approver
     And "ana" signs and rolls it
     Then the process refuses it: "an approver who is not the author"
 
-  Scenario: One key under two names approves nothing
+  Scenario: One key under two names is refused
     Given a bundle by the operators "ana, bob"
     When "bob" is listed with the key of "ana"
     And the operators become "ana, bob"
@@ -71,9 +69,9 @@
     Then the process refuses it: "duplicate: the key of 'ana'"
 
   Scenario: A peer can neither renumber nor change a bundle
-    # Symptom: a process shows a number that nobody rolled and takes no later
-    # one. Sequence: a peer passes a bundle on under a higher number. Cause: a
-    # signature that leaves the number out.
+    # Guards against a signature that does not cover the number: a peer
+    # forwards a bundle under a higher number, and the process reports a number
+    # that nobody rolled and refuses all later ones.
     Given a bundle by the operators "ana, bob"
     When "ana" signs and rolls it
     And a peer offers it under the number 1000
@@ -81,11 +79,11 @@
     When a peer offers it with one byte of a part changed
     Then the process refuses it: "the parts do not match"
 
-  Scenario: Keys rotate, and a cold process follows from the root
+  Scenario: A new process verifies rotated keys from the root
     Given a bundle by the operators "ana, bob"
-    And the root operators are those of now
+    And the root operators are the current operators
     When "ana" signs and rolls it
-    And that was roll 1
+    And roll 1 is recorded
     And the operators become "bob, cleo"
     And "cleo" signs and rolls it
     Then the process refuses it: "signed off by 'cleo'"
@@ -95,13 +93,13 @@
     When the operators become "cleo, dan"
     And "cleo" signs and rolls it
     Then the process uses roll 3
-    When a cold process starts
+    When a new process starts
     Then the process uses roll 3
 
-  Scenario Outline: Settings may name other root operators than the first
-    # Symptom: processes that start refuse every bundle. Sequence: the key that
-    # signed the first bundle is stolen, withdrawn, and taken out of the
-    # settings. Cause: a proof that the settings of the first day alone open.
+  Scenario Outline: Settings may list later root operators
+    # Guards against a proof that can only be verified with the initial
+    # settings: the key that signed the first bundle is stolen, revoked and
+    # removed from the settings, and processes that start refuse every bundle.
     Given a bundle by the operators "ana, bob"
     When "ana" signs and rolls it
     And the operators become "bob, cleo"
@@ -111,7 +109,7 @@
     And the share of a team becomes 3
     And "dan" signs and rolls it
     Then the process uses roll 4
-    When a cold process starts with the root operators "<root>"
+    When a new process starts with the root operators "<root>"
     Then the process <does>
 
     Examples:
@@ -122,23 +120,23 @@
       | dan       | uses roll 4                                                       |
       | eve       | refuses it: "signed off by 'dan'; the operators in force are: eve" |
 
-  Scenario Outline: Old changes of operators can be dropped from the proof
-    # Symptom: heads grow with each change of operators, at each process and
-    # each roll, for ever. Sequence: operators rotate keys for years. Cause: a
-    # proof that always starts with the first bundle.
+  Scenario Outline: Old operator changes can be dropped from the proof
+    # Guards against a proof that always starts with the first bundle: with
+    # years of key rotation, heads would grow without limit at each process and
+    # each roll.
     Given a bundle by the operators "ana, bob"
     When "ana" signs and rolls it
     And the operators become "bob, cleo"
     And "bob" signs and rolls it
     And the operators become "cleo, dan"
     And "cleo" signs and rolls it
-    And the changes of operators before roll 3 are dropped
+    And the operator changes before roll 3 are dropped
     And "dan" signs and rolls it
     Then the process uses roll 4
-    And its proof has 1 change of operators
+    And its proof has 1 operator change
     When "cleo" signs and rolls it
     Then the process uses roll 5
-    When a cold process starts with the root operators "<root>"
+    When a new process starts with the root operators "<root>"
     Then the process <does>
 
     Examples:
@@ -147,23 +145,22 @@
       | dan  | refuses it: "signed off by 'cleo'" |
       | ana  | refuses it: "signed off by 'cleo'" |
 
-  Scenario: A renewed root keeps the policy in force
+  Scenario: A replaced root keeps the active policy
     Given a bundle by the operators "ana, bob"
-    And the policy asks for a separate approver
+    And the policy requires a separate approver
     When "ana" signs and rolls it
     And the share of a team becomes 3
     And "ana" forges roll 2 alone
-    And a cold process with the root operators "ana, bob" is offered it
+    And a new process with the root operators "ana, bob" receives it
     Then the process refuses it: "an approver who is not the author"
 
-  Scenario: A withdrawn key signs nothing more
-    # Symptom: the holder of a stolen key rolls bundles after the key was
-    # withdrawn. Sequence: the proof stops before the withdrawal and the
-    # number is higher. Cause: a proof checked by itself and not against what
-    # the process has seen in force.
+  Scenario: A revoked key can no longer sign
+    # Guards against checking a proof by itself, not against the trust changes
+    # that the process has seen: the holder of a stolen key rolls a bundle with
+    # a higher number and a proof that ends before the revocation.
     Given a bundle by the operators "ana, bob"
     When "ana" signs and rolls it
-    And that was roll 1
+    And roll 1 is recorded
     And the operators become "bob, cleo"
     And "bob" signs and rolls it
     And "ana" signs and rolls it
@@ -176,7 +173,7 @@
     When the text of the bundle is checked
     Then there are no problems
 
-  Scenario Outline: A problem is named with its path
+  Scenario Outline: A problem is reported with its path
     Given a bundle by the operators "ana, bob"
     When "<path>" is set to <value>
     And the text of the bundle is checked
@@ -209,27 +206,27 @@
       | operators                              | []                          | $.operators                     | nobody could sign                |
       | operators.bob.public_key               | "ab"                        | $.operators[1].public_key       | Ed25519 key as 64 hex digits     |
 
-  Scenario: A model that no service lists is held by no worker
+  Scenario: A model that no service lists fits into no worker
     Given a bundle by the operators "ana, bob"
     When "services.diagnostic.models" is set to []
     And the text of the bundle is checked
     Then a problem at "$.models[0]" says "no worker can hold the model 'motor'"
     And a problem at "$.services[0].models" says "expected a model"
 
-  Scenario: A misspelt model is named, and so is the one that nobody runs
+  Scenario: A misspelt model and the unused model are both reported
     Given a bundle by the operators "ana, bob"
     When "services.diagnostic.models" is set to ["moter"]
     And the text of the bundle is checked
     Then a problem at "$.services[0].models[0]" says "did you mean 'motor'?"
     And a problem at "$.models[0]" says "no worker can hold the model 'motor'"
 
-  Scenario: One key of two teams
+  Scenario: A key shared by two teams is reported
     Given a bundle by the operators "ana, bob"
     When the second team gets the key of the first
     And the text of the bundle is checked
     Then a problem at "$.teams[1].key_hashes[0]" says "duplicate: the key of team 'team-0'"
 
-  Scenario: All problems are named, not the first alone
+  Scenario: All problems are reported, not only the first
     Given a bundle by the operators "ana, bob"
     When "teams.team-0.share" is set to -1
     And "teams.team-1.services" is set to ["registri"]
@@ -240,36 +237,36 @@
     And a problem at "$.prefix_secret" says "hex"
 
   Scenario: The parts of 2,500 teams are small, and an edit changes one
-    # Symptom: a change of one team moves half a megabyte to each process, or a
-    # bundle is too large for the platform. Sequence: an operator edits one
-    # team of many. Cause: a bundle kept as one value.
+    # Guards against storing a bundle as one value: an edit of one team of many
+    # would send half a megabyte to each process, or the bundle would be too
+    # large for the platform.
     Given a bundle of 2500 teams
     When the share of a team becomes 9
     Then each part is smaller than 20000 bytes
     And 1 part has changed
 
-  Scenario: The order of the text does not change the digest
+  Scenario: The order of the JSON text does not change the digest
     Given a bundle of 50 teams
     When the teams are reversed
     Then 0 parts have changed
 
-  Scenario: What is checked in part is checked as if in full
-    # Symptom: processes differ on one bundle; those that have just started
-    # refuse what the others use. Sequence: a service goes, and teams in parts
-    # that did not change still name it. Cause: unchanged parts taken as
-    # checked although what they refer to changed.
+  Scenario: Checking only changed parts equals a full check
+    # Guards against treating unchanged parts as valid although the objects
+    # that they refer to changed: a service is removed, teams in unchanged
+    # parts still list it, and only processes that have just started refuse the
+    # bundle.
     Given a bundle of 120 teams
-    When 300 random edits, right and wrong, are read one after the other
-    Then a process that read them all agrees each time with one that starts and with the full check
-    And both some and not all of them were refused
+    When 300 random edits, valid and invalid, are read in sequence
+    Then a reader with cached parts agrees each time with a new reader and the full check
+    And some of them were refused, but not all
 
-  Scenario Outline: Parts have one order and one encoding
-    # Symptom: two digests of one bundle, signed and not signed. Sequence: a
-    # part is encoded in another way. Cause: parts read without comparing
-    # them with what they ought to be.
+  Scenario Outline: Parts have one canonical order and encoding
+    # Guards against two digests of one bundle, one signed and one not: a part
+    # is encoded differently and read without comparing it with the canonical
+    # bytes.
     Given a bundle of 120 teams
     When its parts are <changed>
-    Then they are refused as a bundle
+    Then joining them is refused
 
     Examples:
       | changed         |
--- a/features/steps/audit_steps.py
+++ b/features/steps/audit_steps.py
@@ -1,4 +1,4 @@
-"""Write, read and verify audit trails."""
+"""Append to, read and verify audit trails."""
 
 from behave import given
 from behave import then
@@ -18,20 +18,22 @@
 
 @given('audit trails')
 def start(context: Context) -> None:
-    """Keep trails at the platform of the scenario."""
+    """Use trails at the platform of the scenario."""
     rolls: RollsBench = context.rolls
     context.audit = AuditBench(rolls)
 
 
-@when('the rolls are entered in the audit trail')
-@when('the rolls are entered once more')
-def enter(context: Context) -> None:
-    """Enter the rolls that are not entered yet."""
+@when('the missing rolls are appended to the audit trail')
+@when('the missing rolls are appended again')
+def append_missing(context: Context) -> None:
+    """Append the records of the missing rolls."""
     bench = context.audit
-    entered = bench.runner.run(
-        append_rolls(bench.log(BUNDLE_TRAIL), bench.reads, bench.rolls.reads)
+    appended = bench.runner.run(
+        append_rolls(
+            bench.log(BUNDLE_TRAIL), bench.reader, bench.rolls.bundle_history
+        )
     )
-    assert not isinstance(entered, RollError), entered
+    assert not isinstance(appended, RollError), appended
 
 
 @when('{count:d} records are appended to "{name}" at once')
@@ -45,7 +47,7 @@
 
 @when('{count:d} records are appended to "{name}"')
 def append(context: Context, count: int, name: str) -> None:
-    """Append records one after the other."""
+    """Append records with one write each."""
     context.audit.append(name, count)
 
 
@@ -54,14 +56,14 @@
     ' others follow'
 )
 def append_overtaken(context: Context, name: str, others: int) -> None:
-    """Append while other writers fill the chunk."""
+    """Append with a lost answer while other writers append."""
     bench = context.audit
     bench.runner.run(bench.append_overtaken(name, others))
 
 
 @when('{writers:d} writers append {each:d} records each to "{name}"')
 def race(context: Context, writers: int, each: int, name: str) -> None:
-    """Append from several writers at once."""
+    """Append from several writers concurrently."""
     bench = context.audit
     bench.runner.run(bench.race(name, writers, each))
     bench.rolls.set_faults()
@@ -79,23 +81,23 @@
     context.audit.replace_archived(before.encode(), after.encode())
 
 
-@when('the trail "{name}" is written anew with "{who}" for "{before}"')
+@when('the trail "{name}" is rewritten with "{who}" instead of "{before}"')
 def rewrite(context: Context, name: str, who: str, before: str) -> None:
-    """Rewrite a whole trail so that its hashes are right."""
+    """Rewrite a whole trail with valid hashes."""
     context.audit.rewrite(name, before, who)
 
 
-@when('the head at the platform names "{who}" for "{before}"')
+@when('the head at the platform names "{who}" instead of "{before}"')
 def rewrite_head(context: Context, who: str, before: str) -> None:
-    """Change who rolled, and leave the signature as it is."""
+    """Replace the operator but keep the signature."""
     context.rolls.rewrite_head(before, who)
 
 
 @then('the history is refused: "{text}"')
 def history_refused(context: Context, text: str) -> None:
-    """Read the history."""
+    """Check that reading the history is refused."""
     bench = context.rolls
-    result = bench.runner.run(bench.reads.history(10))
+    result = bench.runner.run(bench.bundle_history.history(10))
     assert isinstance(result, RollError), result
     assert result.fault is RollFault.REFUSED, result
     assert text in result.message, result.message
@@ -107,9 +109,9 @@
     context.rolls.set_faults(down='refuse')
 
 
-@when('the platform is back')
+@when('the platform is available again')
 def come_back(context: Context) -> None:
-    """Take calls again."""
+    """Accept calls again."""
     context.rolls.set_faults()
 
 
@@ -121,30 +123,30 @@
         bench.report()
 
 
-@when('it writes them')
+@when('it flushes them')
 def flush(context: Context) -> None:
-    """Write the batch."""
+    """Flush the buffer."""
     bench = context.audit
     context.flushed = bench.runner.run(bench.buffer.flush())
 
 
-@when('it writes them twice at once')
+@when('it flushes them twice concurrently')
 def flush_twice(context: Context) -> None:
-    """Write while another writing is under way."""
+    """Flush while another flush is running."""
     bench = context.audit
     bench.runner.run(bench.flush_twice())
 
 
-@then('{count:d} records wait')
-def wait(context: Context, count: int) -> None:
-    """Count what the daemon holds."""
+@then('{count:d} records are pending')
+def has_pending(context: Context, count: int) -> None:
+    """Count the pending records of the daemon."""
     assert context.audit.buffer.pending_count == count, (
         context.audit.buffer.pending_count
     )
 
 
-@then('the trail "{name}" is whole, with {count:d} entries')
-def whole(context: Context, name: str, count: int) -> None:
+@then('the trail "{name}" is complete, with {count:d} entries')
+def is_complete_with(context: Context, name: str, count: int) -> None:
     """Verify a trail and count its entries and their ids."""
     trail = context.audit.trail(name)
     assert trail.is_complete and not trail.faults, trail.faults
@@ -154,42 +156,44 @@
 
 
 @then('the trail "{name}" says "{result}"')
-def says(context: Context, name: str, result: str) -> None:
-    """Find an entry by its result."""
+def has_result(context: Context, name: str, result: str) -> None:
+    """Check for an entry with this result."""
     entries = context.audit.trail(name).entries
     assert any(entry.record.result == result for entry in entries)
 
 
-@then('the trail "{name}" tells of a fault: "{text}"')
+@then('the trail "{name}" reports a fault: "{text}"')
 def has_fault(context: Context, name: str, text: str) -> None:
-    """Verify a trail that was tampered with."""
+    """Check that verifying the trail reports a fault."""
     faults = context.audit.trail(name).faults
     assert any(text in fault for fault in faults), faults
 
 
-@then('the trail agrees with the history of rolls')
+@then('the trail agrees with the roll history')
 def agrees(context: Context) -> None:
     """Compare entries with the signed history."""
     assert not _differences(context), _differences(context)
 
 
-@then('the trail differs from the history of rolls: "{text}"')
+@then('the trail differs from the roll history: "{text}"')
 def differs(context: Context, text: str) -> None:
-    """Find a forged or missing entry."""
+    """Check for a forged or missing entry."""
     differences = _differences(context)
     assert any(text in each for each in differences), differences
 
 
 @then('the newest chunk of "{name}" is smaller than {size:d} bytes')
-def bounded(context: Context, name: str, size: int) -> None:
-    """Check the bound of the object."""
+def chunk_is_small(context: Context, name: str, size: int) -> None:
+    """Check the size of the newest chunk."""
     assert context.audit.size(name) < size, context.audit.size(name)
 
 
 @then(
-    'the trails of the fleet tell of "{first}" and "{last}" by "{process_id}"'
+    'the trails of the fleet record "{first}" and "{last}" by "{process_id}"'
 )
-def tell_of(context: Context, first: str, last: str, process_id: str) -> None:
+def fleet_trail_has(
+    context: Context, first: str, last: str, process_id: str
+) -> None:
     """Read the trail of a process from the platform of a fleet."""
     fleet = context.bench.fleet
     slot = fleet.daemon(process_id).slot
--- a/features/steps/bundle_steps.py
+++ b/features/steps/bundle_steps.py
@@ -1,4 +1,4 @@
-"""Sign bundles and offer them to a process."""
+"""Sign bundles and have a process validate them."""
 
 import msgspec
 from behave import given
@@ -28,35 +28,35 @@
 
 @given('a bundle by the operators "{names}"')
 def start_bundle(context: Context, names: str) -> None:
-    """Make a bundle and a process that knows its operators as the root."""
+    """Create a bundle and a process with its operators as the root."""
     bench = BundleBench()
     bench.list_operators(names.split(', '))
-    bench.guard = BundleValidator(bench.bundle.operators)
+    bench.validator = BundleValidator(bench.bundle.operators)
     context.bundles = bench
 
 
-@given('the policy asks for a separate approver')
+@given('the policy requires a separate approver')
 def ask_for_approver(context: Context) -> None:
-    """Change the policy of the bundle."""
+    """Require a separate approver in the bundle."""
     context.bundles.separate_approver()
 
 
-@when('the policy no longer asks for an approver')
+@when('the policy no longer requires an approver')
 def ask_for_no_approver(context: Context) -> None:
-    """Turn the policy off in the next bundle."""
+    """Disable the policy in the next bundle."""
     bench = context.bundles
     bench.bundle = msgspec.structs.replace(bench.bundle, policies=Policies())
 
 
 @when('the sign-offs are dropped')
 def drop_sign_offs(context: Context) -> None:
-    """Begin to sign anew."""
+    """Remove the sign-offs made so far."""
     context.bundles.sign_offs = []
 
 
 @when('the operators become "{names}"')
 def change_operators(context: Context, names: str) -> None:
-    """Rotate the keys of the bundle."""
+    """Replace the operators of the bundle."""
     context.bundles.list_operators(names.split(', '))
 
 
@@ -70,19 +70,19 @@
 
 @when('"{operator}" signs as "{role}"')
 def sign(context: Context, operator: str, role: str) -> None:
-    """Sign the bundle as it is now."""
+    """Sign the current bundle."""
     context.bundles.sign(operator, SignOffRole(role))
 
 
 @when('the share of a team becomes {share:g}')
 def edit(context: Context, share: float) -> None:
-    """Edit the bundle."""
+    """Change the share of the first team."""
     context.bundles.set_share(share)
 
 
 @when('"{operator}" rolls it')
 def roll(context: Context, operator: str) -> None:
-    """Offer what a roll would put in force."""
+    """Offer the document that a roll creates."""
     bench = context.bundles
     bench.offer(bench.document(operator))
 
@@ -96,36 +96,36 @@
 
 @when('a peer offers it under the number {number:d}')
 def renumber(context: Context, number: int) -> None:
-    """Offer the bundle in force under a number that nobody rolled."""
+    """Offer the active bundle under a number that nobody rolled."""
     bench = context.bundles
-    head = msgspec.structs.replace(bench.in_force.head, version=number)
-    bench.offer(Document(head, bench.in_force.parts))
+    head = msgspec.structs.replace(bench.active.head, version=number)
+    bench.offer(Document(head, bench.active.parts))
 
 
 @when('a peer offers it with one byte of a part changed')
 def change_byte(context: Context) -> None:
-    """Offer the bundle in force with another part."""
+    """Offer the active bundle with a modified part."""
     bench = context.bundles
-    parts = list(bench.in_force.parts)
+    parts = list(bench.active.parts)
     parts[1] = parts[1].replace(b'ab', b'ac', 1)
-    bench.offer(Document(bench.in_force.head, tuple(parts)))
+    bench.offer(Document(bench.active.head, tuple(parts)))
 
 
 @when('"{operator}" forges roll {number:d} from the proof of roll 1')
 def forge(context: Context, operator: str, number: int) -> None:
-    """Leave the later changes of operators out of the proof."""
+    """Offer a proof without the later operator changes."""
     bench = context.bundles
-    present = bench.in_force
+    active_document = bench.active
     head = msgspec.structs.replace(bench.first.head, version=number - 1)
-    bench.in_force = Document(head, bench.first.parts)
+    bench.active = Document(head, bench.first.parts)
     forged = bench.document(operator)
-    bench.in_force = present
+    bench.active = active_document
     bench.offer(forged)
 
 
 @given('a bundle of {count:d} teams')
 def start_large(context: Context, count: int) -> None:
-    """Make a bundle and keep its parts for a comparison."""
+    """Create a bundle and record its parts for a comparison."""
     bench = BundleBench()
     bench.bundle = make_bundle(count)
     bench.list_operators(['ana'])
@@ -158,7 +158,7 @@
 
 @when('the text of the bundle is checked')
 def check_text(context: Context) -> None:
-    """Read the text as ``lacewingctl bundle validate`` does."""
+    """Validate the text as ``lacewingctl bundle validate`` does."""
     checked = read_bundle_text(context.bundles.text)
     context.problems = () if isinstance(checked, Bundle) else checked
 
@@ -170,15 +170,15 @@
 
 
 @then('a problem at "{at}" says "{says}"')
-def says_problem(context: Context, at: str, says: str) -> None:
-    """Find a problem by path and text."""
-    found = [str(each) for each in context.problems if each.path == at]
-    assert any(says in text for text in found), context.problems
+def has_problem(context: Context, at: str, says: str) -> None:
+    """Check for a problem with this path and text."""
+    messages = [str(each) for each in context.problems if each.path == at]
+    assert any(says in text for text in messages), context.problems
 
 
 @then('only the path "{at}" has problems')
 def only_path(context: Context, at: str) -> None:
-    """Check that nothing else is complained about."""
+    """Check that no other path has problems."""
     paths = {problem.path for problem in context.problems}
     assert paths == {at}, context.problems
 
@@ -193,26 +193,26 @@
 @then('{count:d} part has changed')
 @then('{count:d} parts have changed')
 def parts_changed(context: Context, count: int) -> None:
-    """Count the parts that were not there before."""
+    """Count the parts that differ from the recorded ones."""
     changed = set(split(context.bundles.bundle)) - set(context.parts)
     assert len(changed) == count, len(changed)
 
 
-@when('{count:d} random edits, right and wrong, are read one after the other')
+@when('{count:d} random edits, valid and invalid, are read in sequence')
 def read_edits(context: Context, count: int) -> None:
-    """Read each edit with a reader that goes on and with a new one."""
+    """Read each edit with the same reader and with a new one."""
     edits = RandomEdits(context.bundles.bundle, seed=5)
     reader = BundleReader()
     context.pairs = []
     for _ in range(count):
         document = edits.next()
-        warm = reader.read(document)
-        cold = BundleReader().read(document)
-        context.pairs.append((warm, cold, _read_in_full(document)))
+        cached = reader.read(document)
+        uncached = BundleReader().read(document)
+        context.pairs.append((cached, uncached, _check_in_full(document)))
 
 
-def _read_in_full(document: Document) -> Bundle | Refusal:
-    """Do what a reader spares itself."""
+def _check_in_full(document: Document) -> Bundle | Refusal:
+    """Check the whole bundle, without cached parts."""
     bundle = join(document.parts)
     assert isinstance(bundle, Bundle), bundle
     for problem in check_bundle(bundle):
@@ -221,91 +221,91 @@
 
 
 @then(
-    'a process that read them all agrees each time with one that starts and'
-    ' with the full check'
+    'a reader with cached parts agrees each time with a new reader and the'
+    ' full check'
 )
-def agree(context: Context) -> None:
+def readers_agree(context: Context) -> None:
     """Compare bundles and refusals."""
-    for warm, cold, full in context.pairs:
-        assert warm == full, (warm, full)
-        assert cold == full, (cold, full)
+    for cached, uncached, full in context.pairs:
+        assert cached == full, (cached, full)
+        assert uncached == full, (uncached, full)
 
 
-@then('both some and not all of them were refused')
+@then('some of them were refused, but not all')
 def some_refused(context: Context) -> None:
-    """Check that the edits were of both sorts."""
+    """Check that there were valid and invalid edits."""
     refused = [pair for pair in context.pairs if isinstance(pair[0], Refusal)]
     assert 0 < len(refused) < len(context.pairs), len(refused)
 
 
 @when('its parts are {how}')
 def change(context: Context, how: str) -> None:
-    """Encode or order the parts in another way."""
+    """Change the encoding or the order of the parts."""
     context.parts = change_parts(context.parts, how)
 
 
-@then('they are refused as a bundle')
+@then('joining them is refused')
 def refused_parts(context: Context) -> None:
-    """Join the parts."""
+    """Check that the parts cannot be joined."""
     joined = join(context.parts)
     assert isinstance(joined, Refusal), joined
 
 
-@when('that was roll 1')
+@when('roll 1 is recorded')
 def keep_first(context: Context) -> None:
-    """Keep the document in force for a forger."""
-    context.bundles.first = context.bundles.in_force
+    """Record the active document for a later forgery."""
+    context.bundles.first = context.bundles.active
 
 
-@when('a cold process starts')
-def start_cold(context: Context) -> None:
-    """Offer the bundle in force to a process that knows only the root."""
+@when('a new process starts')
+def start_new(context: Context) -> None:
+    """Offer the active bundle to a process that only has the root."""
     bench = context.bundles
-    bench.guard = BundleValidator(context.root)
-    bench.offer(bench.in_force)
+    bench.validator = BundleValidator(context.root)
+    bench.offer(bench.active)
 
 
-@when('a cold process starts with the root operators "{names}"')
+@when('a new process starts with the root operators "{names}"')
 def start_with_root(context: Context, names: str) -> None:
-    """Offer the bundle in force to a process with other settings."""
+    """Offer the active bundle to a process with other settings."""
     bench = context.bundles
-    bench.guard = bench.guard_of(names.split(', '))
-    bench.offer(bench.in_force)
+    bench.validator = bench.validator_with_root(names.split(', '))
+    bench.offer(bench.active)
 
 
-@when('the changes of operators before roll {number:d} are dropped')
+@when('the operator changes before roll {number:d} are dropped')
 def drop_changes(context: Context, number: int) -> None:
     """Shorten the proof of the next rolls."""
     context.bundles.trust_since = number
 
 
-@then('its proof has {count:d} change of operators')
+@then('its proof has {count:d} operator change')
 def has_changes(context: Context, count: int) -> None:
-    """Count the links."""
-    proof = read_proof(context.bundles.in_force.head)
+    """Count the trust links of the proof."""
+    proof = read_proof(context.bundles.active.head)
     assert isinstance(proof, Proof), proof
     assert len(proof.links) == count, len(proof.links)
 
 
 @when('"{operator}" forges roll 2 alone')
 def forge_alone(context: Context, operator: str) -> None:
-    """Sign as the author only and make the document."""
+    """Sign only as the author and create the document."""
     bench = context.bundles
     bench.sign(operator, SignOffRole.AUTHOR)
     context.forged = bench.document(operator)
 
 
-@when('a cold process with the root operators "{names}" is offered it')
+@when('a new process with the root operators "{names}" receives it')
 def offer_forged(context: Context, names: str) -> None:
-    """Offer what was forged."""
+    """Offer the forged document to a new process."""
     bench = context.bundles
-    bench.guard = bench.guard_of(names.split(', '))
+    bench.validator = bench.validator_with_root(names.split(', '))
     bench.offer(context.forged)
 
 
-@given('the root operators are those of now')
+@given('the root operators are the current operators')
 def keep_root(context: Context) -> None:
-    """Keep the operators of now for cold processes."""
+    """Record the current operators as the root of new processes."""
     context.root = context.bundles.bundle.operators
 
 
@@ -314,7 +314,7 @@
     """Check that the last offer was accepted."""
     bench = context.bundles
     assert bench.refusal is None, bench.refusal
-    assert bench.in_force.head.version == number, bench.in_force.head.version
+    assert bench.active.head.version == number, bench.active.head.version
 
 
 @then('the process refuses it: "{text}"')
--- a/features/steps/rolling_steps.py
+++ b/features/steps/rolling_steps.py
@@ -1,4 +1,4 @@
-"""Roll the bundle of a deployment as launchers do."""
+"""Roll the bundle of a deployment like a launcher."""
 
 from asyncio import Runner
 
@@ -24,7 +24,7 @@
 
 @given('a platform over HTTP and a launcher')
 def start(context: Context) -> None:
-    """Start a platform and make the launcher's key."""
+    """Start a platform and create the launcher's key."""
     runner = context.resources.enter_context(Runner())
     server = PlatformServer(PlatformSettings())
     runner.run(server.start())
@@ -37,7 +37,7 @@
 @when('it rolls the bundle of "{name}"')
 @when('it rolls the bundle of "{name}" again')
 def roll(context: Context, name: str) -> None:
-    """Sign and roll."""
+    """Sign and roll the bundle of a deployment."""
     bundle = make_bundle(deployment_named(name))
     rolled = context.runner.run(
         context.roller.roll_at(context.server.url, bundle)
@@ -46,11 +46,11 @@
 
 
 @then(
-    'a process that knows its key uses roll {number:d} with the teams of'
+    'a process with its root key uses roll {number:d} with the teams of'
     ' "{name}"'
 )
 def uses(context: Context, number: int, name: str) -> None:
-    """Read the platform as a process does."""
+    """Read the active bundle as a process does."""
     document = context.runner.run(
         _read(
             context.server.url, BundleValidator(context.roller.root_operators)
@@ -64,12 +64,12 @@
     assert {team.name for team in rolled.bundle.teams} == wanted
 
 
-async def _read(url: str, guard: BundleValidator) -> Document | RollError:
+async def _read(url: str, validator: BundleValidator) -> Document | RollError:
     client = PlatformClient(url)
     try:
-        reads = BundleHistory(client, guard)
-        stored = await reads.head()
+        bundle_history = BundleHistory(client, validator)
+        stored = await bundle_history.head()
         assert isinstance(stored, StoredHead), stored
-        return await reads.document(stored)
+        return await bundle_history.document(stored)
     finally:
         client.close()
--- a/features/support/audit_bench.py
+++ b/features/support/audit_bench.py
@@ -1,4 +1,4 @@
-"""Write and tamper with audit trails at a fake platform."""
+"""Append to and tamper with audit trails at a fake platform."""
 
 import asyncio
 from random import Random
@@ -21,16 +21,16 @@
 from support.rolls_bench import OvertakenStore
 from support.rolls_bench import RollsBench
 
-_PATIENCE = RetryPolicy(
+_RETRY_POLICY = RetryPolicy(
     give_up_after_s=20.0, backoff_base_s=0.001, backoff_cap_s=0.01
 )
-_IMPATIENT = RetryPolicy(
+_NO_RETRY_POLICY = RetryPolicy(
     give_up_after_s=0.0, backoff_base_s=0.001, backoff_cap_s=0.001
 )
 
 
 def make_record(number: int, who: str = 'planner') -> AuditRecord:
-    """Make a record with an id of its own."""
+    """Create a record with a unique id."""
     return AuditRecord(
         record_id=f'{who}-{number}',
         who=who,
@@ -43,38 +43,42 @@
 
 
 class AuditBench:
-    """Hold the trails of a platform."""
+    """Provide the audit trails of a platform."""
 
     def __init__(self, rolls: RollsBench) -> None:
         self.rolls = rolls
         self.runner = rolls.runner
-        self.buffer = AuditBuffer(self.log('orders', _IMPATIENT), 'agent', 0)
-        self._reported = 0
+        self.buffer = AuditBuffer(
+            self.log('orders', _NO_RETRY_POLICY), 'agent', 0
+        )
+        self._report_count = 0
 
     @property
-    def reads(self) -> AuditReader:
-        """Return the queries."""
-        return AuditReader(self.rolls.store, _PATIENCE, Random(3))
+    def reader(self) -> AuditReader:
+        """Return a reader of the trails."""
+        return AuditReader(self.rolls.store, _RETRY_POLICY, Random(3))
 
-    def log(self, name: str, patience: RetryPolicy = _PATIENCE) -> AuditLog:
-        """Return a writer of a trail."""
-        return AuditLog(self.rolls.store, name, patience, Random(4))
+    def log(
+        self, name: str, retry_policy: RetryPolicy = _RETRY_POLICY
+    ) -> AuditLog:
+        """Return a log that appends to a trail."""
+        return AuditLog(self.rolls.store, name, retry_policy, Random(4))
 
     def trail(self, name: str) -> AuditTrail:
-        """Read a whole trail."""
-        trail = self.runner.run(self.reads.trail(name, 0))
+        """Read a complete trail."""
+        trail = self.runner.run(self.reader.trail(name, 0))
         assert isinstance(trail, AuditTrail), trail
         return trail
 
     def report(self) -> None:
-        """Give the buffer a record with an id of its own."""
-        self._reported += 1
-        self.buffer.add(make_record(self._reported, 'agent'))
+        """Add a record with a unique id to the buffer."""
+        self._report_count += 1
+        self.buffer.add(make_record(self._report_count, 'agent'))
 
     async def flush_twice(self) -> None:
-        """Write what the buffer holds from two tasks."""
+        """Flush the buffer from two tasks concurrently."""
         buffer = AuditBuffer(self.log('orders'), 'agent', 0)
-        for number in range(self._reported):
+        for number in range(self._report_count):
             buffer.add(make_record(number, 'agent'))
         self.buffer = buffer
         async with asyncio.TaskGroup() as group:
@@ -82,25 +86,25 @@
             group.create_task(buffer.flush())
 
     def append(self, name: str, count: int) -> None:
-        """Append records, one write each."""
+        """Append records with one write each."""
         log = self.log(name)
         for number in range(count):
             error = self.runner.run(log.append((make_record(number),)))
             assert error is None, error
 
     async def append_overtaken(self, name: str, others: int) -> None:
-        """Append with a lost answer; others append before it is read."""
+        """Append with a lost answer; others append before the retry."""
 
-        async def go_on() -> None:
+        async def append_others() -> None:
             await self._write(name, 'other', others)
 
-        store = OvertakenStore(self.rolls.service, AUDIT, go_on)
-        log = AuditLog(store, name, _PATIENCE, Random(5))
+        store = OvertakenStore(self.rolls.service, AUDIT, append_others)
+        log = AuditLog(store, name, _RETRY_POLICY, Random(5))
         error = await log.append((make_record(0, 'slow'),))
         assert error is None, error
 
     async def race(self, name: str, writers: int, each: int) -> None:
-        """Append from several writers at once."""
+        """Append from several writers concurrently."""
         async with asyncio.TaskGroup() as group:
             for index in range(writers):
                 group.create_task(self._write(name, f'writer-{index}', each))
@@ -114,18 +118,18 @@
             assert error is None, error
 
     def size(self, name: str) -> int:
-        """Return the bytes of the newest chunk."""
+        """Return the size of the newest chunk in bytes."""
         return len(self._stored(AUDIT, name).value)
 
     def replace_text(self, name: str, before: bytes, after: bytes) -> None:
-        """Change bytes of the newest chunk, once."""
+        """Replace the first match in the newest chunk."""
         stored = self._stored(AUDIT, name)
         assert before in stored.value, stored.value
         value = stored.value.replace(before, after, 1)
         self.rolls.service.put(ObjectKey(AUDIT, name), value, stored.version)
 
     def rewrite(self, name: str, before: str, after: str) -> None:
-        """Write a trail anew with another person in it."""
+        """Rewrite a trail with another actor and valid hashes."""
         forged: list[AuditRecord] = []
         for entry in self.trail(name).entries:
             who = entry.record.who
@@ -138,7 +142,7 @@
         assert error is None, error
 
     def replace_archived(self, before: bytes, after: bytes) -> None:
-        """Change bytes of a part that holds them."""
+        """Replace the first match in an archived part."""
         objects = self.rolls.service.objects
         for row in objects.names(PARTS):
             stored = self._stored(PARTS, row.name)
@@ -160,7 +164,7 @@
     """Read a trail over HTTP."""
     client = PlatformClient(platform_url)
     try:
-        trail = await AuditReader(client, _PATIENCE).trail(name, 0)
+        trail = await AuditReader(client, _RETRY_POLICY).trail(name, 0)
     finally:
         client.close()
     assert isinstance(trail, AuditTrail), trail
--- a/features/support/bundle_bench.py
+++ b/features/support/bundle_bench.py
@@ -1,4 +1,4 @@
-"""Hold operators, a bundle and a guard for the steps."""
+"""Provide operators, a bundle and a validator for the steps."""
 
 from hashlib import sha256
 from random import Random
@@ -34,7 +34,7 @@
 
 
 def make_team(name: str, share: float = 1.0) -> Team:
-    """Make a team that calls both services."""
+    """Create a team that may call both services."""
     return Team(
         name=name,
         key_hashes=(sha256(name.encode()).hexdigest(),),
@@ -44,7 +44,7 @@
 
 
 def make_bundle(teams: int = 2) -> Bundle:
-    """Make a valid bundle but for its operators."""
+    """Create a bundle that is valid except for its missing operators."""
     adapter = Adapter(name='recall', version='a1', adapter_gb=1.0)
     model = Model(
         name='motor', weights='w1', adapters=(adapter,), weights_gb=14.0
@@ -66,65 +66,67 @@
 
 
 class BundleBench:
-    """Sign and guard without a platform."""
+    """Sign and validate bundles without a platform."""
 
     def __init__(self) -> None:
         self.keys: dict[str, OperatorKey] = {}
         self.bundle = make_bundle()
         self.sign_offs: list[SignOff] = []
         self.trust_since = 0
-        self.in_force: Document | None = None
+        self.active: Document | None = None
         self.refusal: Refusal | None = None
-        self.guard = BundleValidator(())
-        self._raw: object = None
+        self.validator = BundleValidator(())
+        self._edited_json: object = None
 
     def key(self, operator: str) -> OperatorKey:
-        """Return the key of an operator, made at first use."""
+        """Return the key of an operator; create it on first use."""
         if operator not in self.keys:
             self.keys[operator] = new_key(operator)
         return self.keys[operator]
 
-    def guard_of(self, names: list[str]) -> BundleValidator:
-        """Return the guard of a process with these root operators."""
+    def validator_with_root(self, names: list[str]) -> BundleValidator:
+        """Return the validator of a process with these root operators."""
         return BundleValidator(tuple(self.key(name).public for name in names))
 
     def list_operators(self, names: list[str]) -> None:
-        """Make these the operators of the bundle."""
+        """Replace the operators of the bundle."""
         operators = tuple(self.key(name).public for name in names)
         self.bundle = msgspec.structs.replace(self.bundle, operators=operators)
 
     def separate_approver(self) -> None:
-        """Ask for an approver who is not the author."""
+        """Require an approver who is not the author."""
         self.bundle = msgspec.structs.replace(
             self.bundle, policies=Policies(separate_approver=True)
         )
 
     def set_share(self, share: float) -> None:
-        """Edit the bundle."""
+        """Change the share of the first team."""
         teams = list(self.bundle.teams)
         teams[0] = msgspec.structs.replace(teams[0], share=share)
         self.bundle = msgspec.structs.replace(self.bundle, teams=tuple(teams))
 
     @property
     def text(self) -> bytes:
-        """Return the JSON text, with the edits of a person."""
-        if self._raw is None:
+        """Return the JSON text with the edits made by ``edit_text``."""
+        if self._edited_json is None:
             return msgspec.json.encode(self.bundle)
-        return msgspec.json.encode(self._raw)
+        return msgspec.json.encode(self._edited_json)
 
     def edit_text(self, assignment: str) -> None:
-        """Set ``path=JSON`` in the text."""
-        if self._raw is None:
-            self._raw = msgspec.json.decode(msgspec.json.encode(self.bundle))
-        set_value(self._raw, assignment)
+        """Apply an assignment ``path=JSON`` to the text."""
+        if self._edited_json is None:
+            self._edited_json = msgspec.json.decode(
+                msgspec.json.encode(self.bundle)
+            )
+        set_value(self._edited_json, assignment)
 
     def sign(self, operator: str, role: SignOffRole) -> None:
-        """Sign the bundle as it is now."""
+        """Sign the current bundle."""
         digest = contents_of_parts(split(self.bundle)).digest
         self.sign_offs.append(sign_off(digest, role, AT, self.key(operator)))
 
     def document(self, operator: str) -> Document:
-        """Make the document that a roll by an operator would put in force."""
+        """Create the document of a roll by an operator."""
         order = RollOrder(
             parts=split(self.bundle),
             sign_offs=tuple(self.sign_offs),
@@ -132,26 +134,26 @@
             nonce=f'{operator}-{len(self.sign_offs)}',
             trust_since=self.trust_since,
         )
-        before = self.in_force
+        base = self.active
         previous = None
-        if before is not None:
-            previous = Predecessor(before.head, before.parts[0])
-        made = make_successor(previous, order, self.key(operator))
-        assert isinstance(made, Document), made
-        return made
+        if base is not None:
+            previous = Predecessor(base.head, base.parts[0])
+        successor = make_successor(previous, order, self.key(operator))
+        assert isinstance(successor, Document), successor
+        return successor
 
     def offer(self, document: Document) -> None:
-        """Let the process check a document, and use it if it may."""
-        self.refusal = self.guard(document)
+        """Validate a document, and activate it if it is accepted."""
+        self.refusal = self.validator(document)
         if self.refusal is not None:
             return
-        self.guard.record_trust(document)
-        self.in_force = document
+        self.validator.record_trust(document)
+        self.active = document
         self.sign_offs = []
 
 
 class RandomEdits:
-    """Edit a bundle at random, rightly and wrongly, with a fixed seed."""
+    """Make valid and invalid random edits, reproducible by the seed."""
 
     def __init__(self, bundle: Bundle, seed: int) -> None:
         self._bundle = bundle
@@ -160,18 +162,18 @@
     def next(self) -> Document:
         """Return the document of a bundle one edit away from a valid one."""
         edits = (
-            self._share,
-            self._share,
+            self._edit_share,
+            self._edit_share,
             self._copy_key,
-            self._dangle,
+            self._use_unknown_service,
             self._drop_service,
-            self._rename,
+            self._duplicate_name,
         )
         parts = split(self._random.choice(edits)())
         digests = tuple(part_digest(part) for part in parts)
         return Document(DocumentHead(BUNDLE, 1, digests), parts)
 
-    def _share(self) -> Bundle:
+    def _edit_share(self) -> Bundle:
         share = self._random.choice((0.0, 1.0, 2.0, 3.0))
         edited = self._with_team(share=share)
         if share > 0:
@@ -182,14 +184,14 @@
         other = self._random.choice(self._bundle.teams)
         return self._with_team(key_hashes=other.key_hashes)
 
-    def _dangle(self) -> Bundle:
+    def _use_unknown_service(self) -> Bundle:
         return self._with_team(services=('registri',))
 
     def _drop_service(self) -> Bundle:
         services = self._bundle.services[:1]
         return msgspec.structs.replace(self._bundle, services=services)
 
-    def _rename(self) -> Bundle:
+    def _duplicate_name(self) -> Bundle:
         other = self._random.choice(self._bundle.teams)
         return self._with_team(name=other.name)
 
@@ -201,21 +203,21 @@
 
 
 def change_parts(parts: tuple[bytes, ...], how: str) -> tuple[bytes, ...]:
-    """Change parts so that they say the same, or nearly, in another way."""
+    """Encode parts differently, with equal or almost equal contents."""
     last = parts[-1]
     changed = {
         'spaced': (*parts[:-1], last.replace(b'":', b'": ', 1)),
         'swapped': (*parts[:-2], last, parts[-2]),
         'repeated': (*parts, last),
-        'in wrong bucket': (*parts[:-1], _other_bucket(last)),
+        'in wrong bucket': (*parts[:-1], _change_bucket(last)),
         'emptied': (*parts, b'{"part":"teams","bucket":99,"teams":[]}'),
         'cut short': parts[:3],
     }
     return changed[how]
 
 
-def _other_bucket(part: bytes) -> bytes:
-    before = msgspec.json.decode(part)['bucket']
-    old = f'"bucket":{before}'.encode()
+def _change_bucket(part: bytes) -> bytes:
+    bucket = msgspec.json.decode(part)['bucket']
+    old = f'"bucket":{bucket}'.encode()
     assert old in part, part
-    return part.replace(old, f'"bucket":{before + 1}'.encode(), 1)
+    return part.replace(old, f'"bucket":{bucket + 1}'.encode(), 1)
--- a/features/support/rolls_bench.py
+++ b/features/support/rolls_bench.py
@@ -1,4 +1,4 @@
-"""Let operators roll bundles at a fake platform."""
+"""Provide operators who roll bundles at a fake platform."""
 
 import asyncio
 from asyncio import Runner
@@ -44,52 +44,53 @@
 from support.bundle_bench import AT
 from support.bundle_bench import make_bundle
 
-_PATIENCE = RetryPolicy(
+_RETRY_POLICY = RetryPolicy(
     give_up_after_s=20.0, backoff_base_s=0.001, backoff_cap_s=0.01
 )
 _UNLIMITED = 1e9
 
 
 class OvertakenStore(FakeStore):
-    """Lose the answer of the next write of a kind and let others go on.
+    """Lose the answer of the next write of a kind.
 
-    ``others`` runs after the effect, before its writer hears anything.
+    ``on_written`` runs after the write has taken effect, before the writer
+    gets an error.
     """
 
     def __init__(
         self,
         service: PlatformService,
         kind: str,
-        others: Callable[[], Awaitable[None]],
+        on_written: Callable[[], Awaitable[None]],
     ) -> None:
         super().__init__(service)
         self._kind = kind
-        self._others: Callable[[], Awaitable[None]] | None = others
+        self._on_written: Callable[[], Awaitable[None]] | None = on_written
 
     async def put(
         self, kind: str, name: str, value: bytes, expect: int
     ) -> StoredObject | StoreError:
-        """Write, then hold the writer up once."""
+        """Write, and lose the answer once."""
         answer = await super().put(kind, name, value, expect)
-        others = self._others
-        if kind != self._kind or others is None:
+        on_written = self._on_written
+        if kind != self._kind or on_written is None:
             return answer
-        self._others = None
-        await others()
+        self._on_written = None
+        await on_written()
         return StoreError(StoreFault.UNKNOWN, 'the answer was lost')
 
 
-class LenientGuard(BundleValidator):
-    """Be the guard of a release that has fewer checks."""
+class LenientValidator(BundleValidator):
+    """Act as the validator of a release with fewer checks."""
 
     def __call__(self, document: Document) -> Refusal | None:
-        """Check the signatures alone."""
+        """Verify only the signatures."""
         return self.check_signatures(document)
 
 
 @dataclass
 class Draft:
-    """Hold what an operator edits: the bundle and the roll it came from."""
+    """Hold an edited bundle and the number of the roll it is based on."""
 
     base: int
     bundle: Bundle
@@ -98,7 +99,7 @@
 
 @dataclass
 class Race:
-    """Count what racing operators met."""
+    """Record the results of concurrent rolls."""
 
     won: dict[int, str] = field(default_factory=dict)
     lost: set[str] = field(default_factory=set)
@@ -107,7 +108,7 @@
 
 
 class RollsBench:
-    """Hold a platform, the operators' keys and what they roll."""
+    """Provide a platform, the operators' keys and their rolls."""
 
     def __init__(self, runner: Runner, names: list[str]) -> None:
         self.runner = runner
@@ -120,46 +121,50 @@
             self.keys[name] = new_key(name)
         root = tuple(key.public for key in self.keys.values())
         self.root = root
-        self.guard = BundleValidator(root)
+        self.validator = BundleValidator(root)
         self.bundle = msgspec.structs.replace(make_bundle(), operators=root)
         self.drafts: dict[str, Draft] = {}
         self.result: RollResult | RollError | None = None
-        self._nonces = 0
+        self._nonce_count = 0
 
     @property
-    def reads(self) -> BundleHistory:
-        """Return the queries of an operator."""
-        return BundleHistory(self.store, self.guard, _PATIENCE, Random(1))
+    def bundle_history(self) -> BundleHistory:
+        """Return the bundle history with the current store and validator."""
+        return BundleHistory(
+            self.store, self.validator, _RETRY_POLICY, Random(1)
+        )
 
     @property
-    def writes(self) -> BundleRoller:
-        """Return the commands of an operator."""
-        return BundleRoller(self.store, self.guard, _PATIENCE, Random(2))
+    def roller(self) -> BundleRoller:
+        """Return a roller with the current store and validator."""
+        return BundleRoller(
+            self.store, self.validator, _RETRY_POLICY, Random(2)
+        )
 
     def set_faults(self, **switches: object) -> None:
         """Replace the platform's fault switches."""
         self.service.set_faults(msgspec.convert(switches, FaultSwitches))
 
     async def edit(self, operator: str, share: float) -> Draft:
-        """Edit the share of a team in the bundle in force."""
+        """Edit the share of a team in the active bundle."""
         base = 0
         bundle = self.bundle
-        stored = await self.reads.head()
+        stored = await self.bundle_history.head()
         if isinstance(stored, StoredHead):
             base = stored.head.version
-            document = await self.reads.signed_document(stored)
+            document = await self.bundle_history.signed_document(stored)
             assert isinstance(document, Document), document
-            read = join(document.parts)
-            assert isinstance(read, Bundle), read
-            bundle = read
+            active_bundle = join(document.parts)
+            assert isinstance(active_bundle, Bundle), active_bundle
+            bundle = active_bundle
         teams = list(bundle.teams)
         teams[0] = msgspec.structs.replace(teams[0], share=share)
         bundle = msgspec.structs.replace(bundle, teams=tuple(teams))
-        self._nonces += 1
-        return Draft(base, bundle, f'{operator}-{self._nonces}')
+        self._nonce_count += 1
+        return Draft(base, bundle, f'{operator}-{self._nonce_count}')
 
     def order(self, operator: str, draft: Draft) -> RollOrder:
-        """Sign a draft off and make the order of its roll."""
+        """Sign a draft off and create the order of its roll."""
         parts = split(draft.bundle)
         signed = sign_off(
             contents_of_parts(parts).digest,
@@ -172,40 +177,44 @@
     async def roll_overtaken(
         self, operator: str, other: str, times: int
     ) -> RollResult | RollError:
-        """Roll with a lost answer; another rolls before it is read back."""
-        present = self.store
+        """Roll with a lost answer; another operator rolls before the retry."""
+        original_store = self.store
 
-        async def others() -> None:
-            self.store = present
+        async def roll_others() -> None:
+            self.store = original_store
             for number in range(times):
                 draft = await self.edit(other, 100.0 + number)
                 result = await self.roll(other, draft)
                 assert isinstance(result, RollResult), result
 
-        self.store = OvertakenStore(self.service, HEADS, others)
+        self.store = OvertakenStore(self.service, HEADS, roll_others)
         return await self.roll(operator, self.drafts[operator])
 
     async def roll_back(
         self, operator: str, number: int
     ) -> RollResult | RollError:
         """Roll the bundle of an earlier roll, with its sign-offs."""
-        now = await self.reads.head()
-        assert isinstance(now, StoredHead), now
-        order = await make_rollback(self.reads, now, number, AT, 'back')
+        active = await self.bundle_history.head()
+        assert isinstance(active, StoredHead), active
+        order = await make_rollback(
+            self.bundle_history, active, number, AT, 'back'
+        )
         if isinstance(order, RollError):
             return order
         key = self.keys[operator]
-        return await self.writes.roll(order, now.head.version, key)
+        return await self.roller.roll(order, active.head.version, key)
 
-    async def withdraw(
+    async def revoke(
         self, operator: str, other: str
     ) -> RollResult | RollError:
-        """Roll the bundle in force without one of its operators."""
+        """Roll the active bundle without one of its operators."""
         draft = await self.edit(operator, 5.0)
-        kept = tuple(
+        remaining = tuple(
             row for row in draft.bundle.operators if row.name != other
         )
-        draft.bundle = msgspec.structs.replace(draft.bundle, operators=kept)
+        draft.bundle = msgspec.structs.replace(
+            draft.bundle, operators=remaining
+        )
         return await self.roll(operator, draft)
 
     async def roll(
@@ -213,11 +222,11 @@
     ) -> RollResult | RollError:
         """Sign a draft off and roll it."""
         order = self.order(operator, draft)
-        return await self.writes.roll(order, draft.base, self.keys[operator])
+        return await self.roller.roll(order, draft.base, self.keys[operator])
 
     def rewrite_head(self, before: str, after: str) -> None:
-        """Name another operator in the proof of the head in force."""
-        stored = self.runner.run(self.reads.head())
+        """Replace the operator in the proof of the active head."""
+        stored = self.runner.run(self.bundle_history.head())
         assert isinstance(stored, StoredHead), stored
         proof = stored.head.proof.replace(
             f'"operator":"{before}"'.encode(),
@@ -229,8 +238,8 @@
         self.service.put(key, encode_head(head), stored.version)
 
     def damage_parts(self, lost: bool) -> None:
-        """Delete or change each part of the bundle in force."""
-        head = self.runner.run(self.reads.head())
+        """Delete or change each part of the active bundle."""
+        head = self.runner.run(self.bundle_history.head())
         assert isinstance(head, StoredHead), head
         for digest in head.head.parts:
             key = ObjectKey(PARTS, digest)
@@ -241,24 +250,26 @@
 
     def history(self) -> tuple[HistoryEntry, ...]:
         """Return all rolls, newest first."""
-        entries = self.runner.run(self.reads.history(10_000))
+        entries = self.runner.run(self.bundle_history.history(10_000))
         assert not isinstance(entries, RollError), entries
         return entries
 
     async def race(self, rolls: int, seed: int) -> Race:
-        """Let all operators roll at once, and a process follow."""
+        """Roll concurrently as all operators while a process observes."""
         race = Race()
-        follower = asyncio.create_task(self._follow(race, rolls))
+        observer = asyncio.create_task(self._observe(race, rolls))
         each = rolls // len(self.keys)
         async with asyncio.TaskGroup() as operators:
             for index, name in enumerate(self.keys):
                 operators.create_task(
-                    self._operate(name, each, Random(seed + index), race)
+                    self._roll_until_won(
+                        name, each, Random(seed + index), race
+                    )
                 )
-        await follower
+        await observer
         return race
 
-    async def _operate(
+    async def _roll_until_won(
         self, name: str, rolls: int, random: Random, race: Race
     ) -> None:
         won = 0
@@ -277,17 +288,17 @@
             assert result.fault is RollFault.CONFLICT, result
             race.lost.add(draft.nonce)
 
-    async def _follow(self, race: Race, last: int) -> None:
-        """Use each bundle seen, as a process does."""
-        guard = self.guard
+    async def _observe(self, race: Race, last: int) -> None:
+        """Validate each active bundle, as a process does."""
+        validator = self.validator
         while not race.numbers_seen or race.numbers_seen[-1] < last:
-            stored = await self.reads.head()
+            stored = await self.bundle_history.head()
             await asyncio.sleep(0)
             if not isinstance(stored, StoredHead):
                 continue
-            document = await self.reads.document(stored)
+            document = await self.bundle_history.document(stored)
             if isinstance(document, RollError):
                 race.refused.append(document.message)
                 continue
-            guard.record_trust(document)
+            validator.record_trust(document)
             race.numbers_seen.append(document.head.version)
