--- a/packages/daemon/src/lacewing_daemon/peers/_reader.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_reader.py
@@ -114,7 +114,7 @@
         self._logged_duty = duty
         counts = self._node.counts
         _log.info(
-            'ReaderRole changed.',
+            'Duty changed.',
             duty=duty.value,
             member=self._node.table.own_record.process_id,
             alive=counts.alive,
