--- a/packages/daemon/src/lacewing_daemon/peers/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Join the fleet: know its members and share its documents."""
+"""Fleet membership and document distribution by gossip."""
 
 from lacewing_daemon.peers._channels import PeerCallFailed
 from lacewing_daemon.peers._channels import PeerChannels
--- a/packages/daemon/src/lacewing_daemon/peers/_channels.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_channels.py
@@ -1,4 +1,4 @@
-"""Keep connections to the peers that are called."""
+"""Calls to peers over shared connections."""
 
 import asyncio
 import ssl
@@ -25,7 +25,7 @@
 
 
 class _CountingCodec(MsgpackCodec):
-    """Count the bytes of messages, without the frames around them."""
+    """Count the bytes of messages, without their frames."""
 
     def encode(self, message: Any, message_type: Any) -> bytes:
         """Encode one message."""
@@ -50,25 +50,25 @@
 
 
 @dataclass
-class _Open:
-    """Hold a connection; ``left``: no new call is made over it."""
+class _Connection:
+    """Hold a connection; a ``retired`` one gets no new calls."""
 
     channel: Channel
     used_at_s: float
     calls: int = 0
-    left: bool = False
+    retired: bool = False
 
 
 class PeerChannels:
-    """Call peers by address; open, share and close the connections."""
+    """Call peers by address; open, share and close connections."""
 
     def __init__(self, tls: ssl.SSLContext | None) -> None:
         self._tls = tls
-        self._open: dict[str, _Open] = {}
-        self._left: list[_Open] = []
+        self._connections: dict[str, _Connection] = {}
+        self._retired: list[_Connection] = []
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._connections)
 
     async def call(
         self,
@@ -78,21 +78,21 @@
         reply_type: type[T],
         timeout_s: float,
     ) -> T | PeerCallFailed:
-        """Call one peer once."""
+        """Make one call to a peer, without retries."""
         try:
-            held = self._hold(address)
+            connection = self._connect(address)
         except SettingsError as error:
             return PeerCallFailed(str(error))
         call: UnaryUnaryMethod[Any, Any] = UnaryUnaryMethod(
-            held.channel, method, type(request), reply_type
+            connection.channel, method, type(request), reply_type
         )
-        held.calls += 1
-        # When a connection is lost the library cancels the task that waits on
-        # it. In one of its own that can't be taken for a stop of the caller.
-        called = asyncio.create_task(_run(call, request))
+        connection.calls += 1
+        # On a lost connection, grpclib cancels the task that waits for it. In
+        # a separate task this is not mistaken for cancellation of the caller.
+        call_task = asyncio.create_task(_await_call(call, request))
         try:
             async with asyncio.timeout(timeout_s):
-                reply: T = await called
+                reply: T = await call_task
         except (
             OSError,
             TimeoutError,
@@ -101,68 +101,70 @@
             StreamTerminatedError,
             DecodeError,
         ) as error:
-            # A connection to a VM that vanished sends no end; kept, each
-            # further call would wait on it in vain. Calls under way on it
-            # have times of their own.
-            self._leave(address, held)
+            # A connection to a vanished VM is never closed by the other side.
+            # If reused, each further call would time out on it. Calls in
+            # progress on it have their own timeouts.
+            self._retire(address, connection)
             task = asyncio.current_task()
             if task is not None and task.cancelling():
-                # A connection that ends as its call is cancelled shows as
-                # lost. Reported as that, the loop around the call would go
-                # on, and a process that was told to stop would never end.
+                # A connection that is closed while its call is cancelled is
+                # reported as lost. If returned as a failed call, the caller's
+                # loop would continue and the process would never stop.
                 raise asyncio.CancelledError from error
             return PeerCallFailed(f'{address}: {error!r}')
         finally:
-            held.calls -= 1
-            self._close_left()
+            connection.calls -= 1
+            self._close_retired()
         return reply
 
     def close_idle(self) -> None:
-        """Close the connections not used of late."""
+        """Close the connections not used for ``_IDLE_S``."""
         before_s = time.monotonic() - _IDLE_S
-        for address in list(self._open):
-            if self._open[address].used_at_s < before_s:
-                self._leave(address, self._open[address])
-        self._close_left()
+        for address in list(self._connections):
+            if self._connections[address].used_at_s < before_s:
+                self._retire(address, self._connections[address])
+        self._close_retired()
 
     def close(self) -> None:
         """Close all connections."""
-        for held in (*self._open.values(), *self._left):
-            held.channel.close()
-        self._open.clear()
-        self._left.clear()
+        for connection in (*self._connections.values(), *self._retired):
+            connection.channel.close()
+        self._connections.clear()
+        self._retired.clear()
 
-    def _hold(self, address: str) -> _Open:
+    def _connect(self, address: str) -> _Connection:
         now_s = time.monotonic()
-        held = self._open.get(address)
-        if held is not None:
-            held.used_at_s = now_s
-            return held
+        connection = self._connections.get(address)
+        if connection is not None:
+            connection.used_at_s = now_s
+            return connection
         parsed = parse_address(address)
         channel = Channel(
             parsed.host, parsed.port, codec=_codec, ssl=self._tls
         )
-        opened = _Open(channel, now_s)
-        self._open[address] = opened
-        return opened
+        connection = _Connection(channel, now_s)
+        self._connections[address] = connection
+        return connection
 
-    def _leave(self, address: str, held: _Open) -> None:
-        """Make no new call over a connection."""
-        if held.left:
+    def _retire(self, address: str, connection: _Connection) -> None:
+        """Stop using a connection for new calls."""
+        if connection.retired:
             return
-        held.left = True
-        self._left.append(held)
-        if self._open.get(address) is held:
-            del self._open[address]
-
-    def _close_left(self) -> None:
-        """Close connections that are left once their calls have ended."""
-        for held in tuple(self._left):
-            if held.calls:
+        connection.retired = True
+        self._retired.append(connection)
+        if self._connections.get(address) is connection:
+            del self._connections[address]
+
+    def _close_retired(self) -> None:
+        """Close the retired connections that have no calls in progress."""
+        for connection in tuple(self._retired):
+            if connection.calls:
                 continue
-            held.channel.close()
-            self._left.remove(held)
+            connection.channel.close()
+            self._retired.remove(connection)
 
 
-async def _run(call: UnaryUnaryMethod[Any, Any], request: object) -> Any:
+async def _await_call(
+    call: UnaryUnaryMethod[Any, Any], request: object
+) -> Any:
     return await call(request)
--- a/packages/daemon/src/lacewing_daemon/peers/_document_watcher.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_document_watcher.py
@@ -1,4 +1,4 @@
-"""Read documents from the platform."""
+"""Read documents from the platform's store."""
 
 import asyncio
 from random import Random
@@ -19,7 +19,7 @@
 
 from lacewing_daemon.peers._replicas import DocumentReplicas
 
-_PARTS_AT_ONCE = 8
+_MAX_CONCURRENT_READS = 8
 _RETRY_BASE_S = 0.5
 _RETRY_CAP_S = 4.0
 
@@ -27,7 +27,7 @@
 
 
 class DocumentWatcher:
-    """Take each new head of a document, and the parts it lacks."""
+    """Read new heads of documents and their missing parts."""
 
     def __init__(
         self, platform: ObjectReads, replicas: DocumentReplicas, rng: Random
@@ -35,13 +35,13 @@
         self._platform = platform
         self._replicas = replicas
         self._rng = rng
-        self._slots = asyncio.Semaphore(_PARTS_AT_ONCE)
+        self._read_slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
 
     async def read(self, name: DocumentName) -> None:
         """Read a document once."""
         answer = await self._platform.get(HEADS, head_object(name))
         if isinstance(answer, StoredObject):
-            await self._take(name, answer)
+            await self._apply(name, answer)
 
     async def watch(self, name: DocumentName) -> None:
         """Watch a document until cancelled."""
@@ -50,30 +50,32 @@
         async for change in watch:
             if isinstance(change, StoredObject):
                 failing = False
-                await self._take_surely(name, change)
+                await self._apply_with_retries(name, change)
                 continue
             if change.fault is StoreFault.NOT_FOUND or failing:
                 continue
             failing = True
-            _log.warning('Head not read.', error=change.message)
+            _log.warning(
+                'Cannot read the document head.', error=change.message
+            )
 
-    async def _take_surely(
+    async def _apply_with_retries(
         self, name: DocumentName, change: StoredObject
     ) -> None:
-        """Try again while parts cannot be read.
+        """Apply a head; retry with backoff while its parts cannot be read.
 
-        The watch tells each head once: given up, the document would have to
+        The watch returns each head once. Without retries the document would
         wait for the next roll if the other readers failed too.
         """
         backoff = Backoff(_RETRY_BASE_S, _RETRY_CAP_S, self._rng)
-        while not await self._take(name, change):
+        while not await self._apply(name, change):
             await asyncio.sleep(backoff.next_s())
 
-    async def _take(self, name: DocumentName, change: StoredObject) -> bool:
-        """Take a head; false if it is worth another try."""
+    async def _apply(self, name: DocumentName, change: StoredObject) -> bool:
+        """Apply a head; return false if it should be retried."""
         head = decode_head(change.value)
         if head is None or head.document != name:
-            _log.warning('Expected a head.', document=name.name)
+            _log.warning('The document head is invalid.', document=name.name)
             return True
         if head.version <= self._replicas.version(name):
             return True
@@ -96,5 +98,5 @@
         return parts
 
     async def _read_part(self, digest: str) -> StoredObject | StoreError:
-        async with self._slots:
+        async with self._read_slots:
             return await self._platform.get(PARTS, digest)
--- a/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_fetcher.py
@@ -1,4 +1,4 @@
-"""Pull newer documents from the peers that offer them."""
+"""Fetch newer documents from the peers that offer them."""
 
 import asyncio
 import time
@@ -20,27 +20,27 @@
 from lacewing_daemon.peers._channels import PeerChannels
 from lacewing_daemon.peers._replicas import DocumentReplicas
 
-# A peer that is there answers 256 KiB within this on the narrowest links in
-# use (5 Mbit/s, 0.4 s). A larger part, or a link that others fill, takes
-# longer: each fetch that gets no answer doubles the time of the next one of
-# its document, up to the second bound.
+# On the slowest links in use (5 Mbit/s) a reachable peer answers with 256 KiB
+# in 0.4 s. A larger part or a link with other traffic takes longer: each
+# unanswered call doubles the timeout of the next call for its document, up to
+# MAX_CALL_TIMEOUT_S.
 CALL_TIMEOUT_S = 3.0
-MOST_CALL_TIMEOUT_S = 24.0
-_MAX_OFFERERS = 4
-# A version that the guard refused is not fetched again for so long: else
-# each exchange with a process that holds it would fetch it anew.
-_REFUSED_S = 10.0
+MAX_CALL_TIMEOUT_S = 24.0
+_MAX_OFFERS = 4
+# Mean time before a version that its validator refused is fetched again.
+# Without it, each exchange with a process that stores it would fetch it.
+_REFUSED_RETRY_S = 10.0
 _MAX_REFUSED = 64
 
 _log = get_log(Part.BUNDLE)
 
 
 class Fetcher:
-    """Run at most one fetch of each document; try several offerers.
+    """Run at most one fetch per document; try several offering peers.
 
-    Parts that have come are kept for the next fetch, and the time for a call
-    grows after one that got no answer. Otherwise a document that takes
-    longer than that on a narrow link would be begun anew for ever.
+    Parts of a failed fetch are kept for the next one, and the timeout grows
+    after an unanswered call. Otherwise the fetch of a document that exceeds
+    the timeout on a slow link would restart forever.
     """
 
     def __init__(
@@ -51,43 +51,43 @@
         self._rng = rng
         self._offers: dict[DocumentName, dict[str, int]] = {}
         self._tasks: dict[DocumentName, asyncio.Task[None]] = {}
-        self._refused: dict[HeadNote, float] = {}
-        self._kept: dict[DocumentName, dict[str, bytes]] = {}
-        self._patience_s: dict[DocumentName, float] = {}
+        self._refused_until_s: dict[HeadNote, float] = {}
+        self._cached_parts: dict[DocumentName, dict[str, bytes]] = {}
+        self._timeouts_s: dict[DocumentName, float] = {}
 
     @property
     def fetching(self) -> bool:
-        """Tell whether a fetch is under way."""
+        """Return whether a fetch is in progress."""
         return bool(self._tasks)
 
     def offer(self, address: str, notes: Iterable[HeadNote]) -> None:
-        """Fetch what a peer holds in a higher version."""
+        """Fetch the documents of which a peer has a higher version."""
         for note in notes:
             if note.version <= self._replicas.version(note.document):
                 continue
-            if self._lately_refused(note):
+            if self._is_recently_refused(note):
                 continue
             offers = self._offers.setdefault(note.document, {})
-            if len(offers) < _MAX_OFFERERS or address in offers:
+            if len(offers) < _MAX_OFFERS or address in offers:
                 offers[address] = note.version
             if note.document not in self._tasks:
-                task = asyncio.create_task(self._run(note.document))
+                task = asyncio.create_task(self._fetch_offered(note.document))
                 self._tasks[note.document] = task
 
-    async def wait_idle(self, longest_s: float) -> None:
-        """Wait until no fetch is under way."""
+    async def wait_idle(self, timeout_s: float) -> None:
+        """Wait, up to a timeout, for the fetches in progress."""
         tasks = list(self._tasks.values())
         if tasks:
-            await asyncio.wait(tasks, timeout=longest_s)
+            await asyncio.wait(tasks, timeout=timeout_s)
 
     async def close(self) -> None:
-        """Stop all fetches."""
+        """Cancel all fetches."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _run(self, name: DocumentName) -> None:
+    async def _fetch_offered(self, name: DocumentName) -> None:
         try:
             offers = self._offers[name]
             while offers:
@@ -107,21 +107,21 @@
         parts = await self._fetch_parts(head, address)
         if parts is None:
             return
-        self._patience_s.pop(name, None)
+        self._timeouts_s.pop(name, None)
         accepted = self._replicas.accept(head, parts)
         if isinstance(accepted, Refusal):
-            self._note_refused(HeadNote(name, head.version))
+            self._record_refused(HeadNote(name, head.version))
 
     async def _fetch_parts(
         self, head: DocumentHead, address: str
     ) -> dict[str, bytes] | None:
-        """Fetch the missing parts only; None if the peer has them not."""
+        """Fetch the missing parts; None if the peer did not send them all."""
         parts: dict[str, bytes] = {}
         wanted = []
-        kept = self._kept.pop(head.document, {})
+        cached = self._cached_parts.pop(head.document, {})
         for digest in self._replicas.missing(head):
-            if digest in kept:
-                parts[digest] = kept[digest]
+            if digest in cached:
+                parts[digest] = cached[digest]
                 continue
             wanted.append(digest)
         while wanted:
@@ -129,41 +129,43 @@
                 address, Fetch(head.document, tuple(wanted))
             )
             if answer is None or not answer.parts:
-                self._keep(head.document, parts)
+                self._cache_parts(head.document, parts)
                 return None
             for digest, part in zip(wanted, answer.parts, strict=False):
                 parts[digest] = part
             wanted = wanted[len(answer.parts) :]
         return parts
 
-    def _keep(self, name: DocumentName, parts: dict[str, bytes]) -> None:
-        # A wrong part, kept, would spoil the next fetch, too.
-        kept: dict[str, bytes] = {}
+    def _cache_parts(
+        self, name: DocumentName, parts: dict[str, bytes]
+    ) -> None:
+        # A corrupt part would also make the next fetch fail.
+        valid: dict[str, bytes] = {}
         for digest, part in parts.items():
             if part_digest(part) == digest:
-                kept[digest] = part
-        self._kept[name] = kept
+                valid[digest] = part
+        self._cached_parts[name] = valid
 
     async def _call(self, address: str, request: Fetch) -> Fetched | None:
-        patience_s = self._patience_s.get(request.document, CALL_TIMEOUT_S)
+        timeout_s = self._timeouts_s.get(request.document, CALL_TIMEOUT_S)
         answer = await self._channels.call(
-            address, FETCH_METHOD, request, Fetched, patience_s
+            address, FETCH_METHOD, request, Fetched, timeout_s
         )
         if isinstance(answer, PeerCallFailed):
             _log.debug('Fetch failed.', error=answer.message)
-            self._patience_s[request.document] = min(
-                2 * patience_s, MOST_CALL_TIMEOUT_S
+            self._timeouts_s[request.document] = min(
+                2 * timeout_s, MAX_CALL_TIMEOUT_S
             )
             return None
         return answer
 
-    def _lately_refused(self, note: HeadNote) -> bool:
-        until_s = self._refused.get(note)
+    def _is_recently_refused(self, note: HeadNote) -> bool:
+        until_s = self._refused_until_s.get(note)
         return until_s is not None and time.monotonic() < until_s
 
-    def _note_refused(self, note: HeadNote) -> None:
-        if len(self._refused) >= _MAX_REFUSED:
-            self._refused.clear()
-        # Drawn, so that all that refuse a version don't come back together.
-        wait_s = self._rng.uniform(0.5, 1.5) * _REFUSED_S
-        self._refused[note] = time.monotonic() + wait_s
+    def _record_refused(self, note: HeadNote) -> None:
+        if len(self._refused_until_s) >= _MAX_REFUSED:
+            self._refused_until_s.clear()
+        # Random, so that processes refusing a version do not retry together.
+        wait_s = self._rng.uniform(0.5, 1.5) * _REFUSED_RETRY_S
+        self._refused_until_s[note] = time.monotonic() + wait_s
--- a/packages/daemon/src/lacewing_daemon/peers/_gossip.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_gossip.py
@@ -1,4 +1,4 @@
-"""Exchange news with one peer a second and find out who has died."""
+"""Exchange updates with a peer each period and detect failed members."""
 
 import asyncio
 import time
@@ -31,15 +31,16 @@
 from lacewing_daemon.peers._updates import GossipUpdates
 
 FANOUT = 3
-_HELPERS = 3
-_FIRST_TRIES = 2
+_INDIRECT_PROBES = 3
+_DISCOVERY_ATTEMPTS = 2
 _JITTER = 0.25
-# So many times the period passes before an address that is not a member,
-# or a dead member, is tried again beside the partner.
-_STRANGER_EVERY = 8
+# Rounds between calls to an address of a dead member or of no member, made
+# in addition to the call to a partner.
+_CONTACT_INTERVAL_ROUNDS = 8
 _MAX_TABLE_PULLS = 32
-_TABLE_PULL_EVERY = 5.0
-_MAX_RUNNING = 16
+# Mean time between table pulls, in exchange periods.
+_TABLE_PULL_PERIODS = 5.0
+_MAX_CONCURRENT_CALLS = 16
 
 _log = get_log(Part.MEMBERS)
 
@@ -61,29 +62,29 @@
         self._clock = clock
         self._settings = settings
         self._table = table
-        self._news = updates
+        self._updates = updates
         self._partners = partners
         self._channels = channels
         self._rng = rng
         self._contacts = contacts
         self._rounds = 0
-        self._met: set[str] = set()
+        self._contacted: set[str] = set()
         self._pull_after_s = 0.0
-        self._answered_at_s = 0.0
+        self._last_answer_s = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def last_answer_s(self) -> float:
         """Return the running-clock time of the last answer of a peer."""
-        return self._answered_at_s
+        return self._last_answer_s
 
     async def discover(self) -> None:
-        """Call a few known addresses at once, before serving.
+        """Call several known addresses concurrently before serving.
 
-        One lost message shall not leave a process with nobody it knows of.
+        A single lost message must not leave the process without any peer.
         """
-        for _ in range(_FIRST_TRIES):
-            addresses = self._strangers()
+        for _ in range(_DISCOVERY_ATTEMPTS):
+            addresses = self._unknown_addresses()
             self._rng.shuffle(addresses)
             calls = []
             for address in addresses[: 2 * FANOUT]:
@@ -93,13 +94,13 @@
                 return
 
     def contact_new(self) -> None:
-        """Call a few of the addresses that were never called."""
-        strangers = self._strangers()
-        self._met.intersection_update(strangers)
-        fresh = [each for each in strangers if each not in self._met]
-        for address in fresh[:FANOUT]:
-            self._met.add(address)
-            self._spawn(self._try(address))
+        """Call up to ``FANOUT`` of the addresses not contacted yet."""
+        unknown = self._unknown_addresses()
+        self._contacted.intersection_update(unknown)
+        new = [each for each in unknown if each not in self._contacted]
+        for address in new[:FANOUT]:
+            self._contacted.add(address)
+            self._spawn(self._contact(address))
 
     async def run(self) -> None:
         """Exchange with one peer in each period until cancelled."""
@@ -109,23 +110,23 @@
                 self._confirm_suspects()
                 self._channels.close_idle()
                 self._table.remove_dead()
-                self._show_counts()
+                self._update_metrics()
                 self._call_next()
         finally:
             await self._cancel_calls()
 
     async def run_urgent(self) -> None:
-        """Tell urgent news at once to a few peers until cancelled."""
+        """Send urgent updates to a few peers immediately until cancelled."""
         while True:
-            await self._news.urgent.wait()
-            self._news.urgent.clear()
+            await self._updates.urgent.wait()
+            self._updates.urgent.clear()
             for record in self._partners.sample(FANOUT):
                 self._spawn(self._exchange(record))
-            # Changes that come together are told together.
+            # Batches changes that occur close together.
             await asyncio.sleep(0.05 * self._settings.exchange_s)
 
     async def flush(self) -> None:
-        """Tell the news to a few peers and wait for their answers."""
+        """Send pending updates to a few peers and wait for their answers."""
         calls = []
         for record in self._partners.sample(FANOUT):
             calls.append(self._exchange(record))
@@ -135,12 +136,12 @@
         wait_s = period_s * self._rng.uniform(1 - _JITTER, 1 + _JITTER)
         late_s = await self._clock.sleep(wait_s)
         if late_s > self._settings.probe_s:
-            # This process stood still. Refutations may have been waiting to
-            # be read all the while; confirming now would declare healthy
-            # peers dead all over the fleet.
+            # This process was stalled, so refutations may have arrived that
+            # it has not read yet. Confirming suspicions now would declare
+            # healthy peers dead throughout the fleet.
             self._table.restart_suspicions()
 
-    def _show_counts(self) -> None:
+    def _update_metrics(self) -> None:
         counts = self._table.counts
         MEMBERS.labels('alive').set(counts.alive)
         MEMBERS.labels('suspect').set(counts.suspect)
@@ -148,23 +149,23 @@
         MEMBERS.labels('leaving').set(counts.leaving)
 
     def _call_next(self) -> None:
-        if len(self._tasks) >= _MAX_RUNNING:
+        if len(self._tasks) >= _MAX_CONCURRENT_CALLS:
             return
         self._rounds += 1
         partner = self._partners.next_partner()
         if partner is not None:
             self._spawn(self._exchange(partner))
-        if partner is None or self._rounds % _STRANGER_EVERY == 0:
-            strangers = self._strangers()
-            if strangers:
-                address = self._rng.choice(strangers)
-                self._spawn(self._try(address))
+        if partner is None or self._rounds % _CONTACT_INTERVAL_ROUNDS == 0:
+            unknown = self._unknown_addresses()
+            if unknown:
+                address = self._rng.choice(unknown)
+                self._spawn(self._contact(address))
 
-    def _strangers(self) -> list[str]:
-        """Return addresses to try that belong to no living member.
+    def _unknown_addresses(self) -> list[str]:
+        """Return known addresses that belong to no live member.
 
-        Without the dead among them two halves of a fleet that lost each
-        other for long would never meet again.
+        Addresses of dead members are included: otherwise the two sides of a
+        long network partition would never reconnect.
         """
         living = {record.address for record in self._table.live_peers()}
         living.add(self._table.own_record.address)
@@ -172,7 +173,7 @@
         found.update(self._contacts())
         return sorted(found - living)
 
-    async def _try(self, address: str) -> None:
+    async def _contact(self, address: str) -> None:
         await self._exchange_with(address, None)
 
     async def _exchange(self, record: MemberRecord) -> None:
@@ -183,10 +184,10 @@
         stalled_s = time.monotonic() - started_s - ran_s
         ran_briefly = ran_s < self._settings.probe_s / 2
         if ran_briefly and stalled_s > self._settings.probe_s:
-            # The peer may well have answered while this process stood still.
+            # The peer may have answered while this process was stalled.
             return
         if record.liveness is Liveness.ALIVE:
-            await self._doubt(record)
+            await self._probe_indirectly(record)
 
     async def _exchange_with(
         self, address: str, record: MemberRecord | None
@@ -194,7 +195,9 @@
         answer = await self._channels.call(
             address,
             EXCHANGE_METHOD,
-            self._news.make_request(record or self._dead_at(address)),
+            self._updates.make_request(
+                record or self._dead_member_at(address)
+            ),
             Exchange,
             self._clock.extend_timeout(self._settings.probe_s),
         )
@@ -203,37 +206,39 @@
             _log.debug('Exchange failed.', error=answer.message)
             return False
         EXCHANGES.labels('answered').inc()
-        self._answered_at_s = self._clock.now_s
-        self._news.apply(answer)
-        self._note_owner(record, answer.sender)
+        self._last_answer_s = self._clock.now_s
+        self._updates.apply(answer)
+        self._check_process_id(record, answer.sender)
         if answer.table_hash != self._table.hash:
             await self._pull_table(address)
         return True
 
-    def _dead_at(self, address: str) -> MemberRecord | None:
+    def _dead_member_at(self, address: str) -> MemberRecord | None:
         for record in self._table.dead_members():
             if record.address == address:
                 return record
         return None
 
-    def _note_owner(
+    def _check_process_id(
         self, called: MemberRecord | None, answered: MemberRecord | None
     ) -> None:
         if called is None or answered is None:
             return
         if called.process_id != answered.process_id:
-            # Its VM was replaced and the address is used again: waiting for
-            # it to be silent would take for ever.
+            # The VM was replaced and its address reused. The address keeps
+            # answering, so the former member would never become suspect.
             self._table.set_liveness(called, Liveness.DEAD)
 
-    async def _doubt(self, record: MemberRecord) -> None:
-        """Have others try a silent peer before it is suspected.
+    async def _probe_indirectly(self, record: MemberRecord) -> None:
+        """Suspect a peer if indirect probes through other peers fail too.
 
-        One broken path between two zones would else make each member of
-        one suspect all of the other.
+        With direct calls alone, one broken path between two zones would make
+        the members of each zone suspect all members of the other.
         """
         calls = []
-        for helper in self._partners.sample(_HELPERS, record.process_id):
+        for helper in self._partners.sample(
+            _INDIRECT_PROBES, record.process_id
+        ):
             calls.append(self._probe_through(helper, record))
         if any(await asyncio.gather(*calls)):
             return
@@ -259,15 +264,15 @@
                 _log.info('Dead.', member=record.process_id)
 
     async def _pull_table(self, address: str) -> None:
-        """Repair a difference, or fill the table of a cold process.
+        """Pull differing records, or the whole table after a start.
 
-        News under way makes tables differ for moments all the time; the
-        pause between pulls keeps that cheap.
+        Tables often differ briefly while updates propagate; the delay between
+        pulls limits the cost.
         """
         now_s = time.monotonic()
         if now_s < self._pull_after_s:
             return
-        pause_s = _TABLE_PULL_EVERY * self._settings.exchange_s
+        pause_s = _TABLE_PULL_PERIODS * self._settings.exchange_s
         self._pull_after_s = now_s + pause_s * self._rng.uniform(0.5, 1.5)
         for _ in range(_MAX_TABLE_PULLS):
             query = TableQuery(self._table.bucket_hashes)
@@ -281,7 +286,7 @@
             if isinstance(answer, PeerCallFailed):
                 return
             before = self._table.bucket_hashes
-            self._news.apply_table(answer)
+            self._updates.apply_table(answer)
             if self._table.bucket_hashes == before:
                 return
 
--- a/packages/daemon/src/lacewing_daemon/peers/_members.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_members.py
@@ -1,4 +1,4 @@
-"""Give the addresses of agents from all that is known of members."""
+"""Derive the addresses of agents from members, seeds and VM list."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,13 +10,13 @@
 from lacewing_daemon.peers._table import MemberTable
 from lacewing_daemon.peers._vm_notes import VmNotes
 
-# An incarnation holds the milliseconds of its start above 12 random bits.
-_INCARNATION_BITS = 12
+# An incarnation is the start time in milliseconds followed by random bits.
+_INCARNATION_RANDOM_BITS = 12
 
 
 @dataclass(frozen=True)
 class _Index:
-    """Hold the newest record, and the newest living agent, by address."""
+    """Hold the newest record and the newest live agent by address."""
 
     newest: dict[str, MemberRecord]
     agents: dict[str, MemberRecord]
@@ -25,11 +25,11 @@
     def of(records: tuple[MemberRecord, ...]) -> '_Index':
         index = _Index({}, {})
         for record in records:
-            _keep_newer(index.newest, record)
+            _set_if_newer(index.newest, record)
             if record.role is not Role.AGENT:
                 continue
             if record.liveness is not Liveness.DEAD:
-                _keep_newer(index.agents, record)
+                _set_if_newer(index.agents, record)
         return index
 
 
@@ -46,13 +46,13 @@
         self._notes = notes
         self._contacts = contacts
         self._index = _Index.of(())
-        self._indexed = 0
+        self._indexed_size = 0
         self._stale = True
-        table.on_change(self._record_changed)
+        table.on_change(self._on_record_change)
 
     def agent_addresses(self) -> tuple[str, ...]:
         """Return ``ip:port`` of each agent not known to have left."""
-        index = self._fresh_index()
+        index = self._current_index()
         found: list[str] = []
         for address, record in index.newest.items():
             if address and record.role is Role.AGENT:
@@ -64,8 +64,8 @@
         return tuple(found)
 
     def is_leaving(self, address: str) -> bool:
-        """Tell whether an agent or its VM is leaving."""
-        newest = self._fresh_index().agents.get(address)
+        """Return whether an agent or its VM is leaving."""
+        newest = self._current_index().agents.get(address)
         if newest is not None and newest.leaving:
             return True
         note = self._notes.get(address)
@@ -73,26 +73,26 @@
             return False
         if newest is None:
             return True
-        # Another process may have got the address since.
-        return note.seen_ms >= newest.incarnation >> _INCARNATION_BITS
-
-    def _fresh_index(self) -> _Index:
-        # A router asks for each of its links twice a second. Searching the
-        # table each time took half a second of CPU at 1,220 members. Members
-        # forgotten without a change show in their number.
-        if self._stale or self._indexed != self._table.size:
+        # Another process may have reused the address since.
+        return note.seen_ms >= newest.incarnation >> _INCARNATION_RANDOM_BITS
+
+    def _current_index(self) -> _Index:
+        # A router queries this for each link twice a second. Searching the
+        # table each time took 0.5 s of CPU time at 1,220 members. Members
+        # are removed without a change callback; the table size shows that.
+        if self._stale or self._indexed_size != self._table.size:
             self._index = _Index.of(self._table.all())
-            self._indexed = self._table.size
+            self._indexed_size = self._table.size
             self._stale = False
         return self._index
 
-    def _record_changed(self, _record: MemberRecord) -> None:
+    def _on_record_change(self, _record: MemberRecord) -> None:
         self._stale = True
 
 
-def _keep_newer(
+def _set_if_newer(
     records: dict[str, MemberRecord], record: MemberRecord
 ) -> None:
-    held = records.get(record.address)
-    if held is None or held.incarnation < record.incarnation:
+    current = records.get(record.address)
+    if current is None or current.incarnation < record.incarnation:
         records[record.address] = record
--- a/packages/daemon/src/lacewing_daemon/peers/_metrics.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_metrics.py
@@ -1,4 +1,4 @@
-"""Count the exchanges between peers, for ``/metrics``."""
+"""Metrics of the exchanges between peers."""
 
 from prometheus_client import Counter
 from prometheus_client import Gauge
--- a/packages/daemon/src/lacewing_daemon/peers/_node.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_node.py
@@ -1,4 +1,4 @@
-"""Put the parts together that make a process one of the fleet."""
+"""Assemble the components of a fleet member."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,42 +30,42 @@
 from lacewing_daemon.peers._updates import GossipUpdates
 from lacewing_daemon.peers._vm_notes import VmNotes
 
-# A process that starts waits for its peers' documents, or callers would find
-# it without any. A large one on a narrow link may take longer than callers
-# of a VM that is back want to wait.
-FIRST_FETCH_S = 1.0
+# A starting process waits for its peers' documents; otherwise it would serve
+# callers without any. The wait is limited because a large document on a slow
+# link may take longer than callers of a restarted VM are willing to wait.
+FIRST_FETCH_TIMEOUT_S = 1.0
 
 _log = get_log(Part.MEMBERS)
 
 
 class PeerNode:
-    """Know the members, hold the documents and exchange both with peers.
+    """Maintain members and documents and exchange both with peers.
 
-    ``contacts`` gives the addresses of seeds and of listed VMs.
+    ``contacts`` returns the addresses of seeds and of listed VMs.
     """
 
     def __init__(
         self,
         name: ProcessName,
         settings: Settings,
-        guards: Mapping[DocumentKind, DocumentValidator],
+        validators: Mapping[DocumentKind, DocumentValidator],
         contacts: Callable[[], tuple[str, ...]],
         rng: Random,
         channels: PeerChannels | None = None,
     ) -> None:
         self._clock = RunningClock()
         self._table = MemberTable(
-            _my_record(name, settings), lambda: self._clock.now_s
+            _make_own_record(name, settings), lambda: self._clock.now_s
         )
-        self._notes = VmNotes()
-        self._replicas = DocumentReplicas(guards)
+        self._vm_notes = VmNotes()
+        self._replicas = DocumentReplicas(validators)
         if channels is None:
             channels = PeerChannels(client_context(settings))
         self._channels = channels
         self._fetcher = Fetcher(self._replicas, self._channels, rng)
         self._updates = GossipUpdates(
             self._table,
-            self._notes,
+            self._vm_notes,
             self._replicas,
             self._fetcher,
             settings.peers.exchange_s,
@@ -83,19 +83,19 @@
         self._service = PeerService(
             self._updates,
             self._table,
-            self._notes,
+            self._vm_notes,
             self._replicas,
             self._channels,
             settings.peers.probe_s,
             rng,
             self._clock,
         )
-        self._members = GossipMembers(self._table, self._notes, contacts)
+        self._members = GossipMembers(self._table, self._vm_notes, contacts)
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def service(self) -> PeerService:
-        """Return what the listener for peers has to serve."""
+        """Return the gRPC service that the listener for peers serves."""
         return self._service
 
     @property
@@ -110,7 +110,7 @@
 
     @property
     def members(self) -> GossipMembers:
-        """Return the addresses known."""
+        """Return the source of known agent addresses."""
         return self._members
 
     @property
@@ -120,74 +120,74 @@
 
     @property
     def vm_notes(self) -> VmNotes:
-        """Return what is known of the platform's VM list."""
-        return self._notes
+        """Return the notes on VMs from the platform's VM list."""
+        return self._vm_notes
 
     @property
     def counts(self) -> MemberStatus:
-        """Count the members known."""
+        """Return the number of known members by state."""
         return self._table.counts
 
     @property
     def last_contact_s(self) -> float:
-        """Return the ``clock`` time of the last call or answer of a peer."""
-        return max(self._gossip.last_answer_s, self._service.heard_at_s)
+        """Return the ``clock`` time of the last call or answer from a peer."""
+        return max(self._gossip.last_answer_s, self._service.last_call_s)
 
     @property
     def clock(self) -> RunningClock:
-        """Return the clock that measures the silence of peers."""
+        """Return the clock for the time without messages from peers."""
         return self._clock
 
     @property
     def pending_updates(self) -> int:
-        """Return how many pieces of news are still being told."""
+        """Return the number of updates still being disseminated."""
         return self._updates.pending_count
 
     @property
     def has_peers(self) -> bool:
-        """Tell whether any other process is known."""
+        """Return whether any other live process is known."""
         return bool(self._table.live_peers())
 
     def contact_new(self) -> None:
-        """Call the addresses that were not known before."""
+        """Call a few of the addresses not contacted yet."""
         self._gossip.contact_new()
 
     async def discover(self) -> None:
-        """Learn members and documents from a few peers before serving."""
+        """Fetch members and documents from a few peers before serving."""
         await self._gossip.discover()
-        await self._fetcher.wait_idle(FIRST_FETCH_S)
+        await self._fetcher.wait_idle(FIRST_FETCH_TIMEOUT_S)
 
     def start(self, address: str) -> None:
-        """Join the fleet under the address of the listener for peers."""
+        """Join the fleet with the address of the listener for peers."""
         self._table.set_address(address)
-        self._follow(self._gossip.run())
-        self._follow(self._gossip.run_urgent())
+        self._start_task(self._gossip.run())
+        self._start_task(self._gossip.run_urgent())
 
     async def announce_leaving(self) -> None:
-        """Tell a few peers that this process takes no new work."""
+        """Tell a few peers that this process accepts no new work."""
         self._table.mark_leaving()
         await self._gossip.flush()
 
     async def close(self) -> None:
-        """Stop exchanging and close the connections."""
+        """Stop the exchanges and close the connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._fetcher.close()
         self._channels.close()
 
-    def _follow(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        task.add_done_callback(_report_fault)
+        task.add_done_callback(_log_failure)
         self._tasks.append(task)
 
 
-def _report_fault(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        _log.error('Exchanges ended.', error=repr(task.exception()))
+        _log.error('Exchange task failed.', error=repr(task.exception()))
 
 
-def _my_record(name: ProcessName, settings: Settings) -> MemberRecord:
+def _make_own_record(name: ProcessName, settings: Settings) -> MemberRecord:
     worker = settings.worker
     return MemberRecord(
         name.process_id,
--- a/packages/daemon/src/lacewing_daemon/peers/_reader.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_reader.py
@@ -1,4 +1,4 @@
-"""Read from the platform as far as this process has to."""
+"""Read documents and the VM list from the platform by reader role."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,23 +19,25 @@
 from lacewing_daemon.peers._vm_list import TakeList
 from lacewing_daemon.peers._vm_list import VmListReader
 
-_FIRST_READ_S = 1.0
-# Processes that start together, or are all cut off from each other, begin
-# to read at no more than so many a second: well below the platform's 2,000.
+_FIRST_READ_TIMEOUT_S = 1.0
+# Processes that start together, or that are all isolated from each other,
+# start reads at these total rates per second, well below the 2,000 reads a
+# second of the platform.
 _STARTS_PER_S = 400.0
-_LEAST_SPREAD_S = 0.2
-_ALONE_READS_PER_S = 100.0
-_LEAST_ALONE_S = 5.0
-_KEEP_LIST_ROUNDS = 60
+_MIN_SPREAD_S = 0.2
+_ISOLATED_READS_PER_S = 100.0
+_MIN_ISOLATED_PERIODS = 5.0
+# Exchange periods for which a process that stops reading keeps the VM list.
+_RETAIN_LIST_ROUNDS = 60
 
 _log = get_log(Part.MEMBERS)
 
 
 class PlatformReader:
-    """Follow documents and VM list while this process is a reader.
+    """Watch documents and poll the VM list while this process is a reader.
 
-    ``follow`` names the documents to watch; ``take_list`` gets each VM
-    list read.
+    ``follow`` returns the names of the documents to watch; ``take_list`` is
+    called with each VM list read.
     """
 
     def __init__(
@@ -52,95 +54,97 @@
         self._follow = follow
         self._rng = rng
         self._election = Election(settings, node.table, node.clock)
-        self._heads = DocumentWatcher(platform, node.documents, rng)
+        self._document_watcher = DocumentWatcher(platform, node.documents, rng)
         self._vm_list = VmListReader(
             platform, node.vm_notes, take_list, settings.vm_list_s, rng
         )
         self._take_list = take_list
-        self._listened = 0
-        self._logged_duty: ReaderRole | None = None
+        self._listen_rounds = 0
+        self._logged_role: ReaderRole | None = None
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     @property
     def is_reading(self) -> bool:
-        """Tell whether this process watches the platform now."""
+        """Return whether this process watches the platform now."""
         return bool(self._tasks)
 
     async def read_members(self) -> None:
-        """Read the VM list before serving, if no seed gave any member.
+        """Read the VM list once before serving, with a timeout.
 
-        A router that took callers first would refuse them, as it knows no
-        agent yet. One that waited for ever would not serve in an outage.
+        For a process that received no member from the seeds: a router that
+        accepted callers without knowing any agent would refuse them. Without
+        the timeout it would not serve during an outage of the platform.
         """
         try:
-            async with asyncio.timeout(_FIRST_READ_S):
+            async with asyncio.timeout(_FIRST_READ_TIMEOUT_S):
                 await self._vm_list.read()
         except TimeoutError:
-            self._vm_list.log_failure('no answer in time for the start')
+            self._vm_list.log_failure('no answer within the startup timeout')
 
     async def run(self, contacts: int) -> None:
-        """Read as duty asks until cancelled.
+        """Read as the reader role requires until cancelled.
 
-        ``contacts`` is the number of addresses known at the start, which
-        may all be starting now: the first reads are spread accordingly.
+        ``contacts`` is the number of addresses known at the start. Their
+        processes may all be starting now, so the first read is delayed at
+        random in proportion.
         """
-        spread_s = max(_LEAST_SPREAD_S, contacts / _STARTS_PER_S)
+        spread_s = max(_MIN_SPREAD_S, contacts / _STARTS_PER_S)
         await asyncio.sleep(self._rng.uniform(0.0, spread_s))
         try:
             while True:
-                await self._do_duty()
+                await self._run_role()
         finally:
-            await self._stop_all()
+            await self._stop_tasks()
 
-    async def _do_duty(self) -> None:
-        duty = self._election.role(self._node.last_contact_s)
-        self._log_duty_change(duty)
-        if duty is ReaderRole.READ:
-            self._start_all()
+    async def _run_role(self) -> None:
+        role = self._election.role(self._node.last_contact_s)
+        self._log_role_change(role)
+        if role is ReaderRole.READ:
+            self._start_tasks()
         else:
-            await self._stop_all()
-        if duty is ReaderRole.LISTEN:
-            self._age_list()
+            await self._stop_tasks()
+        if role is ReaderRole.LISTEN:
+            self._expire_list()
         else:
-            self._listened = 0
-        if duty is ReaderRole.ISOLATED:
-            await self._read_alone()
+            self._listen_rounds = 0
+        if role is ReaderRole.ISOLATED:
+            await self._read_isolated()
             return
         await asyncio.sleep(self._settings.exchange_s)
 
-    def _log_duty_change(self, duty: ReaderRole) -> None:
-        if duty is self._logged_duty:
+    def _log_role_change(self, role: ReaderRole) -> None:
+        if role is self._logged_role:
             return
-        self._logged_duty = duty
+        self._logged_role = role
         counts = self._node.counts
         _log.info(
             'Duty changed.',
-            duty=duty.value,
+            duty=role.value,
             member=self._node.table.own_record.process_id,
             alive=counts.alive,
             suspect=counts.suspect,
             dead=counts.dead,
         )
 
-    def _age_list(self) -> None:
-        """Forget the list some time after others have begun to read it.
+    def _expire_list(self) -> None:
+        """Discard the list some time after this process stopped reading it.
 
-        Kept, its addresses would be called for ever, long after their VMs
-        have gone. Dropped at once, a cold process might lose agents that
-        no peer has told it of yet.
+        If kept, its addresses would be called indefinitely, long after their
+        VMs were removed. If discarded immediately, a process that has just
+        started might lose agents that no peer has reported yet.
         """
-        self._listened += 1
-        if self._listened == _KEEP_LIST_ROUNDS:
+        self._listen_rounds += 1
+        if self._listen_rounds == _RETAIN_LIST_ROUNDS:
             self._take_list(())
 
-    async def _read_alone(self) -> None:
-        """Read once, seldom enough for all processes to do the same.
+    async def _read_isolated(self) -> None:
+        """Read once after a delay proportional to the number of processes.
 
-        Were all cut off from each other but not from the platform, their
-        reads together would stay at a fixed rate whatever their number.
+        If all processes are isolated from each other but not from the
+        platform, their total read rate stays fixed whatever their number.
         """
-        least_s = _LEAST_ALONE_S * self._settings.exchange_s
-        mean_s = max(least_s, self._election.known_count / _ALONE_READS_PER_S)
+        min_s = _MIN_ISOLATED_PERIODS * self._settings.exchange_s
+        mean_s = max(min_s, self._election.known_count / _ISOLATED_READS_PER_S)
         await asyncio.sleep(mean_s * self._rng.uniform(0.5, 1.5))
         if (
             self._election.role(self._node.last_contact_s)
@@ -148,37 +152,37 @@
         ):
             return
         for name in self._follow():
-            await self._heads.read(name)
+            await self._document_watcher.read(name)
         await self._vm_list.read()
 
-    def _start_all(self) -> None:
-        wanted = {self._key(name): name for name in self._follow()}
+    def _start_tasks(self) -> None:
+        wanted = {self._task_key(name): name for name in self._follow()}
         for key, name in wanted.items():
-            self._start(key, self._heads.watch(name))
-        self._start('vm-list', self._poll_vms())
+            self._start_task(key, self._document_watcher.watch(name))
+        self._start_task('vm-list', self._poll_vm_list())
         for key in list(self._tasks):
             if key != 'vm-list' and key not in wanted:
                 self._tasks.pop(key).cancel()
 
-    def _start(self, key: str, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, key: str, work: Coroutine[Any, Any, None]) -> None:
         task = self._tasks.get(key)
         if task is not None and not task.done():
             work.close()
             return
         self._tasks[key] = asyncio.create_task(work)
 
-    async def _stop_all(self) -> None:
+    async def _stop_tasks(self) -> None:
         tasks = list(self._tasks.values())
         self._tasks.clear()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _poll_vms(self) -> None:
+    async def _poll_vm_list(self) -> None:
         while True:
             await self._vm_list.read()
             self._node.contact_new()
             await asyncio.sleep(self._vm_list.pause_s())
 
-    def _key(self, name: DocumentName) -> str:
+    def _task_key(self, name: DocumentName) -> str:
         return f'{name.kind.value}/{name.name}'
--- a/packages/daemon/src/lacewing_daemon/peers/_service.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_service.py
@@ -1,4 +1,4 @@
-"""Answer the calls of peers."""
+"""gRPC service for the calls of peers."""
 
 from random import Random
 from typing import Any
@@ -29,20 +29,20 @@
 from lacewing_daemon.peers._updates import GossipUpdates
 from lacewing_daemon.peers._vm_notes import VmNotes
 
-# About 20 KB, so that a cold process has 1,220 members after ten calls and
-# no reply takes the three seconds' allowance of the peer that gives it.
+# About 20 KB. A starting process receives 1,220 members in ten calls, and no
+# reply takes the 3 s that the sending peer allows for it.
 _MAX_TABLE_RECORDS = 128
 _MAX_FETCH_BYTES = 256 * 1024
 
 
 class PeerService:
-    """Serve the methods by which peers exchange news."""
+    """Serve the methods by which peers exchange updates."""
 
     def __init__(
         self,
-        news: GossipUpdates,
+        updates: GossipUpdates,
         table: MemberTable,
-        notes: VmNotes,
+        vm_notes: VmNotes,
         replicas: DocumentReplicas,
         channels: PeerChannels,
         probe_timeout_s: float,
@@ -50,21 +50,21 @@
         clock: RunningClock,
     ) -> None:
         self._clock = clock
-        self._news = news
+        self._updates = updates
         self._table = table
-        self._notes = notes
+        self._vm_notes = vm_notes
         self._replicas = replicas
         self._channels = channels
         self._probe_timeout_s = probe_timeout_s
         self._rng = rng
-        self.heard_at_s = 0.0
+        self.last_call_s = 0.0
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Map the methods for grpclib."""
+        """Return the handlers by method, as grpclib expects."""
         return {
             EXCHANGE_METHOD: _unary(self._exchange, Exchange, Exchange),
             PROBE_METHOD: _unary(self._probe, Probe, ProbeReply),
-            TABLE_METHOD: _unary(self._give_table, TableQuery, TableReply),
+            TABLE_METHOD: _unary(self._send_table, TableQuery, TableReply),
             FETCH_METHOD: _unary(self._fetch, Fetch, Fetched),
         }
 
@@ -72,8 +72,8 @@
         call = await stream.recv_message()
         if call is None:
             return
-        self.heard_at_s = self._clock.now_s
-        await stream.send_message(self._news.make_reply(call))
+        self.last_call_s = self._clock.now_s
+        await stream.send_message(self._updates.make_reply(call))
 
     async def _probe(self, stream: Stream[Probe, ProbeReply]) -> None:
         call = await stream.recv_message()
@@ -82,17 +82,17 @@
         answer = await self._channels.call(
             call.address,
             EXCHANGE_METHOD,
-            self._news.make_request(),
+            self._updates.make_request(),
             Exchange,
             self._clock.extend_timeout(self._probe_timeout_s),
         )
         if isinstance(answer, PeerCallFailed):
             await stream.send_message(ProbeReply(False))
             return
-        self._news.apply(answer)
+        self._updates.apply(answer)
         await stream.send_message(ProbeReply(True))
 
-    async def _give_table(
+    async def _send_table(
         self, stream: Stream[TableQuery, TableReply]
     ) -> None:
         call = await stream.recv_message()
@@ -102,7 +102,7 @@
         records = self._table.records_in_differing_buckets(
             call.hashes, _MAX_TABLE_RECORDS, first
         )
-        await stream.send_message(TableReply(records, self._notes.all()))
+        await stream.send_message(TableReply(records, self._vm_notes.all()))
 
     async def _fetch(self, stream: Stream[Fetch, Fetched]) -> None:
         call = await stream.recv_message()
@@ -120,8 +120,8 @@
         await stream.send_message(Fetched(head, tuple(parts)))
 
     def _head(self, name: DocumentName) -> DocumentHead | None:
-        held = self._replicas.get(name)
-        return None if held is None else held.head
+        document = self._replicas.get(name)
+        return None if document is None else document.head
 
 
 def _unary(function: Any, call: type, reply: type) -> Handler:
--- a/packages/daemon/src/lacewing_daemon/peers/_table.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_table.py
@@ -1,4 +1,4 @@
-"""Hold what this process knows of all processes of the fleet."""
+"""Member table: the records of all known processes of the fleet."""
 
 import time
 from collections.abc import Callable
@@ -12,41 +12,43 @@
 from lacewing_common.wire_peers import MemberRecord
 
 BUCKETS = 64
-# Longer than regions lose each other for: a process that was dead to us
-# must still be tried when they meet again.
-_FORGET_DEAD_S = 7200.0
+# Must exceed the duration of a partition between regions: dead members are
+# called until then, which is how the regions reconnect.
+_DEAD_RETENTION_S = 7200.0
 _encode = msgspec.msgpack.encode
 
 
 def bucket_of(process_id: str) -> int:
-    """Return the part of the table that holds a process id."""
+    """Return the index of the table bucket of a process id."""
     return xxhash.xxh3_64_intdigest(process_id.encode()) % BUCKETS
 
 
 def _record_hash(record: MemberRecord) -> int:
-    # Suspicion is left out: it comes and goes at its own time at each
-    # process, and the tables would seem to differ all the while.
+    # Excludes suspicion: it starts and ends at different times at each
+    # process, so the tables would differ permanently.
     if record.liveness is Liveness.DEAD:
         return 0
-    held = (
+    fields = (
         record.process_id,
         record.incarnation,
         record.revision,
         record.leaving,
         record.address,
     )
-    return xxhash.xxh3_64_intdigest(_encode(held))
+    return xxhash.xxh3_64_intdigest(_encode(fields))
 
 
 class MemberTable:
-    """Merge records so that all processes come to hold the same ones."""
+    """Merge records so that the tables of all processes converge."""
 
     def __init__(
-        self, me: MemberRecord, clock: Callable[[], float] = time.monotonic
+        self,
+        own_record: MemberRecord,
+        clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._me = me
+        self._own_record = own_record
         self._clock = clock
-        self._records = {me.process_id: me}
+        self._records = {own_record.process_id: own_record}
         self._changed_at_s: dict[str, float] = {}
         self._bucket_hashes = [0] * BUCKETS
         self._hash = 0
@@ -54,31 +56,31 @@
         self._dead: set[str] = set()
         self._leaving: set[str] = set()
         self._callbacks: list[Callable[[MemberRecord], None]] = []
-        self._count(me)
+        self._add_to_counts(own_record)
 
     @property
     def own_record(self) -> MemberRecord:
         """Return the record of this process."""
-        return self._me
+        return self._own_record
 
     @property
     def hash(self) -> int:
-        """Return a hash over all members not dead."""
+        """Return a hash over all members that are not dead."""
         return self._hash
 
     @property
     def bucket_hashes(self) -> tuple[int, ...]:
-        """Return the hash of each part of the table."""
+        """Return the hash of each bucket of the table."""
         return tuple(self._bucket_hashes)
 
     @property
     def size(self) -> int:
-        """Return the number of records, the dead included."""
+        """Return the number of records, including dead members."""
         return len(self._records)
 
     @property
     def counts(self) -> MemberStatus:
-        """Count the members by state."""
+        """Return the number of members by state."""
         return MemberStatus(
             len(self._records) - len(self._suspects) - len(self._dead),
             len(self._suspects),
@@ -100,17 +102,17 @@
         return tuple(self._records.values())
 
     def live_peers(self) -> list[MemberRecord]:
-        """Return the members that are not dead, without this process."""
+        """Return the members that are not dead, except this process."""
         found: list[MemberRecord] = []
         for record in self._records.values():
-            if record.process_id == self._me.process_id:
+            if record.process_id == self._own_record.process_id:
                 continue
             if record.liveness is not Liveness.DEAD:
                 found.append(record)
         return found
 
     def dead_members(self) -> list[MemberRecord]:
-        """Return the members thought dead and not yet forgotten."""
+        """Return the dead members not removed from the table yet."""
         return [self._records[each] for each in self._dead]
 
     def agents(self) -> list[MemberRecord]:
@@ -124,7 +126,7 @@
         return found
 
     def suspected_before(self, time_s: float) -> list[MemberRecord]:
-        """Return the members suspected since before a time on its clock."""
+        """Return the members suspected before a time on the table's clock."""
         found: list[MemberRecord] = []
         for process_id in self._suspects:
             if self._changed_at_s[process_id] < time_s:
@@ -134,41 +136,45 @@
     def records_in_differing_buckets(
         self, hashes: tuple[int, ...], limit: int, first: int
     ) -> tuple[MemberRecord, ...]:
-        """Return records of the parts whose hashes differ.
+        """Return the records of buckets whose hashes differ.
 
-        Whole parts, from part ``first`` on, until ``limit`` is reached: a
-        caller that got pieces of all of them would show the same difference
-        again and be sent the same records for ever.
+        Returns whole buckets, starting with bucket ``first``, until ``limit``
+        records are reached. With incomplete buckets the caller would report
+        the same differences again and be sent the same records each time.
         """
-        parts: dict[int, list[MemberRecord]] = {}
+        buckets: dict[int, list[MemberRecord]] = {}
         for record in self._records.values():
             index = bucket_of(record.process_id)
-            parts.setdefault(index, []).append(record)
+            buckets.setdefault(index, []).append(record)
         found: list[MemberRecord] = []
         for step in range(len(hashes)):
             index = (first + step) % len(hashes)
             if self._bucket_hashes[index % BUCKETS] == hashes[index]:
                 continue
-            found.extend(parts.get(index, []))
+            found.extend(buckets.get(index, []))
             if len(found) >= limit:
                 break
         return tuple(found)
 
     def on_change(self, callback: Callable[[MemberRecord], None]) -> None:
-        """Call back after each change of a record."""
+        """Register a callback for changed records."""
         self._callbacks.append(callback)
 
     def set_address(self, address: str) -> None:
-        """Take the address that this process now listens on."""
+        """Set the address on which this process listens."""
         # A peer may have pulled the record while it had no address. Without
-        # a new revision it would keep that one for good: nobody could call
-        # this process through it, and the tables would differ for ever.
-        self._replace_me(address=address, revision=self._me.revision + 1)
+        # a new revision the peer would never replace that record: no process
+        # could call this one by it, and the tables would differ permanently.
+        self._update_own_record(
+            address=address, revision=self._own_record.revision + 1
+        )
 
     def mark_leaving(self) -> None:
-        """Say that this process takes no new work."""
-        if not self._me.leaving:
-            self._replace_me(leaving=True, revision=self._me.revision + 1)
+        """Mark this process as accepting no new work."""
+        if not self._own_record.leaving:
+            self._update_own_record(
+                leaving=True, revision=self._own_record.revision + 1
+            )
 
     def merge_all(self, records: Iterable[MemberRecord]) -> None:
         """Merge records that a peer sent."""
@@ -176,82 +182,82 @@
             self.merge(record)
 
     def merge(self, record: MemberRecord) -> bool:
-        """Take a record if it is more recent than the one held."""
-        if record.process_id == self._me.process_id:
+        """Store a record if it is more recent; return whether it was."""
+        if record.process_id == self._own_record.process_id:
             return self._refute(record)
-        held = self._records.get(record.process_id)
-        if held is not None and record.precedence <= held.precedence:
+        current = self._records.get(record.process_id)
+        if current is not None and record.precedence <= current.precedence:
             return False
-        if held is None and record.liveness is Liveness.DEAD:
-            # Not worth telling on: nobody here would have called it.
+        if current is None and record.liveness is Liveness.DEAD:
+            # No need to disseminate it: this process never called it.
             return False
         self._store(record)
         return True
 
     def set_liveness(self, record: MemberRecord, liveness: Liveness) -> bool:
-        """Change what is thought of a member, unless it has moved on."""
-        held = self._records.get(record.process_id)
-        if held is None or held.precedence != record.precedence:
+        """Set a member's liveness unless its record has changed since."""
+        current = self._records.get(record.process_id)
+        if current is None or current.precedence != record.precedence:
             return False
-        return self.merge(msgspec.structs.replace(held, liveness=liveness))
+        return self.merge(msgspec.structs.replace(current, liveness=liveness))
 
     def restart_suspicions(self) -> None:
-        """Give all suspects their whole time again."""
+        """Restart the suspicion timeout of all suspects."""
         now_s = self._clock()
         for process_id in self._changed_at_s:
             self._changed_at_s[process_id] = now_s
 
     def remove_dead(self) -> None:
-        """Drop members that have long been dead."""
-        before_s = self._clock() - _FORGET_DEAD_S
+        """Remove members that have been dead for ``_DEAD_RETENTION_S``."""
+        before_s = self._clock() - _DEAD_RETENTION_S
         for record in self.dead_members():
             if self._changed_at_s[record.process_id] < before_s:
-                self._uncount(record)
+                self._remove_from_counts(record)
                 del self._records[record.process_id]
                 del self._changed_at_s[record.process_id]
 
     def _refute(self, record: MemberRecord) -> bool:
-        """Contradict what is said of this run of this process.
+        """Refute a suspicion or death of this incarnation of this process.
 
-        Without a revision above the one suspected, a process that was only
-        slow would be dead to the fleet until it restarts.
+        Without a revision above the suspected one, a process that was only
+        slow would remain dead to the fleet until it restarts.
         """
-        if record.incarnation != self._me.incarnation:
+        if record.incarnation != self._own_record.incarnation:
             return False
         if record.liveness is Liveness.ALIVE:
             return False
-        if record.revision < self._me.revision:
+        if record.revision < self._own_record.revision:
             return False
-        self._replace_me(revision=record.revision + 1)
+        self._update_own_record(revision=record.revision + 1)
         return True
 
-    def _replace_me(self, **changes: object) -> None:
-        self._uncount(self._me)
-        self._me = msgspec.structs.replace(self._me, **changes)
-        self._records[self._me.process_id] = self._me
-        self._count(self._me)
-        self._tell(self._me)
+    def _update_own_record(self, **changes: object) -> None:
+        self._remove_from_counts(self._own_record)
+        self._own_record = msgspec.structs.replace(self._own_record, **changes)
+        self._records[self._own_record.process_id] = self._own_record
+        self._add_to_counts(self._own_record)
+        self._notify(self._own_record)
 
     def _store(self, record: MemberRecord) -> None:
-        held = self._records.get(record.process_id)
-        if held is not None:
-            self._uncount(held)
+        current = self._records.get(record.process_id)
+        if current is not None:
+            self._remove_from_counts(current)
         self._records[record.process_id] = record
         self._changed_at_s[record.process_id] = self._clock()
-        self._count(record)
-        self._tell(record)
+        self._add_to_counts(record)
+        self._notify(record)
 
-    def _tell(self, record: MemberRecord) -> None:
+    def _notify(self, record: MemberRecord) -> None:
         for callback in self._callbacks:
             callback(record)
 
-    def _count(self, record: MemberRecord) -> None:
-        """Enter a record into the sets by state and the hashes.
+    def _add_to_counts(self, record: MemberRecord) -> None:
+        """Add a record to the sets by state and to the hashes.
 
-        Counting them anew at each change would make the start of a large
-        fleet take time that grows with the square of its size.
+        Recomputing them at each change would make the start of a fleet take
+        time quadratic in its size.
         """
-        self._toggle(record)
+        self._toggle_hashes(record)
         if record.liveness is Liveness.DEAD:
             self._dead.add(record.process_id)
             return
@@ -260,13 +266,13 @@
         if record.leaving:
             self._leaving.add(record.process_id)
 
-    def _uncount(self, record: MemberRecord) -> None:
-        self._toggle(record)
+    def _remove_from_counts(self, record: MemberRecord) -> None:
+        self._toggle_hashes(record)
         self._dead.discard(record.process_id)
         self._suspects.discard(record.process_id)
         self._leaving.discard(record.process_id)
 
-    def _toggle(self, record: MemberRecord) -> None:
+    def _toggle_hashes(self, record: MemberRecord) -> None:
         change = _record_hash(record)
         self._hash ^= change
         self._bucket_hashes[bucket_of(record.process_id)] ^= change
--- a/packages/daemon/src/lacewing_daemon/peers/_vm_list.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_vm_list.py
@@ -1,4 +1,4 @@
-"""Read the platform's lagging VM list and note what changes in it."""
+"""Poll the platform's VM list, which lags, and record changes."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -23,24 +23,24 @@
 
 
 class VmListReader:
-    """Read the list; keep the last one in an outage.
+    """Read the VM list; retain the last one during an outage.
 
-    ``take`` gets the addresses. Only what changed between two reads is
-    noted: the lists that two readers see lag differently, and a reader that
-    noted all it sees would take back what another has just found out.
+    ``on_list`` is called with each list read. Only changes between two reads
+    are recorded: the lists of two readers lag differently, and a reader that
+    recorded every state would revert what another has just observed.
     """
 
     def __init__(
         self,
         platform: ObjectReads,
         notes: VmNotes,
-        take: TakeList,
+        on_list: TakeList,
         period_s: float,
         rng: Random,
     ) -> None:
         self._platform = platform
         self._notes = notes
-        self._take = take
+        self._on_list = on_list
         self._period_s = period_s
         self._rng = rng
         self._backoff = Backoff(_RETRY_BASE_S, _RETRY_CAP_S, rng)
@@ -48,7 +48,7 @@
         self._states: dict[str, VmState] = {}
 
     async def read(self) -> None:
-        """Read the list once."""
+        """Read the VM list once."""
         answer = await self._platform.vms()
         if isinstance(answer, StoreError):
             self.log_failure(answer.message)
@@ -57,25 +57,25 @@
             _log.info('VM list read again.', vms=len(answer))
         self._failing = False
         self._backoff.reset()
-        self._take(answer)
+        self._on_list(answer)
         for vm in answer:
-            self._note_change(vm)
+            self._record_change(vm)
         self._states = {vm.address: vm.state for vm in answer}
 
     def log_failure(self, message: str) -> None:
-        """Log the first of a row of failures."""
+        """Log the first of consecutive failures."""
         if not self._failing:
             _log.warning('VM list not read.', error=message)
         self._failing = True
 
     def pause_s(self) -> float:
-        """Draw the time until the next read, longer while reads fail."""
+        """Return a random time until the next read, longer after failures."""
         pause_s = self._period_s * self._rng.uniform(1 - _JITTER, 1 + _JITTER)
         if self._failing:
             pause_s += self._backoff.next_s()
         return pause_s
 
-    def _note_change(self, vm: Vm) -> None:
+    def _record_change(self, vm: Vm) -> None:
         leaving = vm.state is VmState.LEAVING
         before = self._states.get(vm.address)
         if before is None:
--- a/packages/daemon/src/lacewing_daemon/peers/_vm_notes.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_vm_notes.py
@@ -1,4 +1,4 @@
-"""Hold what the platform's VM list says, heard from whoever reads it."""
+"""VM states from the platform's list, as shared between peers."""
 
 import time
 from collections.abc import Callable
@@ -8,14 +8,14 @@
 from lacewing_common.log import Part
 from lacewing_common.wire_peers import VmNote
 
-# An address may be used again; a note must not outlive its VM for long.
-_KEEP_S = 600.0
+# Limited because the address may be reused after its VM is removed.
+_RETENTION_S = 600.0
 
 _log = get_log(Part.MEMBERS)
 
 
 class VmNotes:
-    """Keep the latest note on each address that is or was leaving."""
+    """Hold the latest note on each address that is or was leaving."""
 
     def __init__(self) -> None:
         self._notes: dict[str, VmNote] = {}
@@ -26,16 +26,16 @@
         return tuple(self._notes.values())
 
     def get(self, address: str) -> VmNote | None:
-        """Return the note on an address."""
+        """Return the note on an address, if any."""
         return self._notes.get(address)
 
     def is_leaving(self, address: str) -> bool:
-        """Tell whether the list says that the VM is leaving."""
+        """Return whether the VM is leaving according to the list."""
         note = self._notes.get(address)
         return note is not None and note.leaving
 
     def on_change(self, callback: Callable[[VmNote], None]) -> None:
-        """Call back after each change."""
+        """Register a callback for changed notes."""
         self._callbacks.append(callback)
 
     def merge_all(self, notes: Iterable[VmNote]) -> None:
@@ -44,9 +44,9 @@
             self.merge(note)
 
     def merge(self, note: VmNote) -> bool:
-        """Take a note if it is more recent than the one held."""
-        held = self._notes.get(note.address)
-        if held is not None and held.seen_ms >= note.seen_ms:
+        """Store a note if it is more recent; return whether it was."""
+        current = self._notes.get(note.address)
+        if current is not None and current.seen_ms >= note.seen_ms:
             return False
         if note.seen_ms < _oldest_ms():
             return False
@@ -57,11 +57,11 @@
         return True
 
     def observe(self, address: str, leaving: bool) -> bool:
-        """Note what this process just read in the list."""
+        """Record a state that this process has just read in the list."""
         return self.merge(VmNote(address, leaving, _now_ms()))
 
     def forget_old(self) -> None:
-        """Drop notes that are too old to matter."""
+        """Remove the notes older than ``_RETENTION_S``."""
         oldest_ms = _oldest_ms()
         for note in self.all():
             if note.seen_ms < oldest_ms:
@@ -73,4 +73,4 @@
 
 
 def _oldest_ms() -> int:
-    return _now_ms() - int(_KEEP_S * 1000)
+    return _now_ms() - int(_RETENTION_S * 1000)
