--- a/features/peers_narrow.feature
+++ b/features/peers_narrow.feature
@@ -1,23 +1,21 @@
-Feature: Documents that arrive slowly from peers
+Feature: Documents arrive from peers over slow or failing links
 
-  Scenario: A large part on a narrow link arrives in the end
-    # Symptom: a process serves by an old bundle or plan for good.
-    # Sequence: a part takes longer on a narrow link than the time allowed
-    #   for a call; each fetch is given up and begins anew.
-    # Cause: one limit on the whole of a transfer, whatever its size.
+  Scenario: A large part eventually arrives over a slow link
+    # Guards against a process that keeps an old bundle or plan for good: a
+    # part takes longer on a slow link than the timeout of a call, and each
+    # fetch restarts with the same timeout, whatever the size of the part.
     Given a peer that offers a document with a part of 4000000 bytes
     And a link of 625000 bytes a second
-    When the offer is heard 3 times
-    Then the document is held
-    And the calls were given 3, 3, 6, 6, 12 and 12 s at most
+    When the offer is received 3 times
+    Then the document is stored
+    And the calls had timeouts of 3, 3, 6, 6, 12 and 12 s
 
-  Scenario: Parts that came are not fetched again
-    # Symptom: links are full of a document that never arrives.
-    # Sequence: calls to a peer fail now and then; each failure throws away
-    #   what the calls before it brought.
-    # Cause: a fetch that failed began with the first part.
+  Scenario: Received parts are not fetched again
+    # Guards against links that are saturated by a document that never arrives:
+    # calls to a peer fail from time to time, and each failed fetch discards
+    # its received parts, so that the next one begins with the first part.
     Given a peer that offers a document with 6 parts of 200000 bytes
     And every fourth call to it fails
-    When the offer is heard 4 times
-    Then the document is held
-    And each part came once
+    When the offer is received 4 times
+    Then the document is stored
+    And each part was received once
--- a/features/steps/peers_narrow_steps.py
+++ b/features/steps/peers_narrow_steps.py
@@ -1,4 +1,4 @@
-"""Check how documents are fetched over links that are slow or fail."""
+"""Fetch documents over simulated links that are slow or fail."""
 
 import asyncio
 from random import Random
@@ -21,21 +21,21 @@
 from lacewing_daemon.peers._replicas import DocumentReplicas
 
 NAME = DocumentName(DocumentKind.BUNDLE, 'bundle')
-OFFERER = '127.0.0.1:1'
-MOST_BYTES = 256 * 1024
+PEER_ADDRESS = '127.0.0.1:1'
+MAX_FETCH_BYTES = 256 * 1024
 
 
 class SlowPeer(PeerChannels):
-    """Answer fetches as a peer over a link, without taking time."""
+    """Answer fetches as a peer over a link, without real delays."""
 
     def __init__(self, parts: list[bytes]) -> None:
         super().__init__(None)
         self._parts = {part_digest(part): part for part in parts}
         self.head = DocumentHead(NAME, 1, tuple(self._parts))
         self.bytes_s = float('inf')
-        self.fails_every = 0
-        self.patience_s: list[float] = []
-        self.came: list[str] = []
+        self.failure_interval = 0
+        self.timeouts_s: list[float] = []
+        self.received: list[str] = []
 
     async def call(
         self,
@@ -45,80 +45,83 @@
         reply_type: Any,
         timeout_s: float,
     ) -> Any:
-        """Answer if the link brings the answer in time."""
+        """Answer if the link transfers the answer within the timeout."""
         assert isinstance(request, Fetch)
-        self.patience_s.append(timeout_s)
-        if self.fails_every and not len(self.patience_s) % self.fails_every:
+        self.timeouts_s.append(timeout_s)
+        if (
+            self.failure_interval
+            and not len(self.timeouts_s) % self.failure_interval
+        ):
             return PeerCallFailed('fails')
         sent: list[str] = []
         size = 0
         for digest in request.digests:
             part = self._parts[digest]
-            if sent and size + len(part) > MOST_BYTES:
+            if sent and size + len(part) > MAX_FETCH_BYTES:
                 break
             sent.append(digest)
             size += len(part)
         if size / self.bytes_s > timeout_s:
             return PeerCallFailed('late')
-        self.came.extend(sent)
+        self.received.extend(sent)
         parts = tuple(self._parts[digest] for digest in sent)
         return Fetched(self.head, parts)
 
 
 @given('a peer that offers a document with a part of {size:d} bytes')
-def step_part(context: Context, size: int) -> None:
-    """Offer one part."""
+def step_one_part(context: Context, size: int) -> None:
+    """Offer a document with one part."""
     context.peer = SlowPeer([b'x' * size])
 
 
 @given('a peer that offers a document with {count:d} parts of {size:d} bytes')
 def step_parts(context: Context, count: int, size: int) -> None:
-    """Offer several parts."""
+    """Offer a document with several parts."""
     context.peer = SlowPeer([b'%d' % n + b'x' * size for n in range(count)])
 
 
 @given('a link of {bytes_s:d} bytes a second')
 def step_link(context: Context, bytes_s: int) -> None:
-    """Narrow the link."""
+    """Set the bandwidth of the link."""
     context.peer.bytes_s = float(bytes_s)
 
 
 @given('every fourth call to it fails')
 def step_fails(context: Context) -> None:
-    """Fail calls."""
-    context.peer.fails_every = 4
+    """Fail every fourth call."""
+    context.peer.failure_interval = 4
 
 
-@when('the offer is heard {count:d} times')
-def step_heard(context: Context, count: int) -> None:
-    """Hear the offer, each time once the last fetch has ended."""
+@when('the offer is received {count:d} times')
+def step_received(context: Context, count: int) -> None:
+    """Receive the offer, each time after the last fetch has ended."""
     context.replicas = DocumentReplicas({DocumentKind.BUNDLE: lambda _: None})
     note = HeadNote(NAME, context.peer.head.version)
 
-    async def hear() -> None:
+    async def receive_offers() -> None:
         fetcher = Fetcher(context.replicas, context.peer, Random())
         for _ in range(count):
-            fetcher.offer(OFFERER, (note,))
+            fetcher.offer(PEER_ADDRESS, (note,))
             while fetcher.fetching:
                 await asyncio.sleep(0)
 
-    asyncio.run(hear())
+    asyncio.run(receive_offers())
 
 
-@then('the document is held')
-def step_held(context: Context) -> None:
-    """Look for it."""
-    assert context.replicas.version(NAME) == 1, context.peer.patience_s
+@then('the document is stored')
+def step_stored(context: Context) -> None:
+    """Check that the document is stored."""
+    assert context.replicas.version(NAME) == 1, context.peer.timeouts_s
 
 
-@then('the calls were given {times} s at most')
-def step_given(context: Context, times: str) -> None:
-    """Compare the time of each call."""
+@then('the calls had timeouts of {times} s')
+def step_timeouts(context: Context, times: str) -> None:
+    """Check the timeout of each call."""
     expected = [float(one) for one in times.replace(' and', ',').split(',')]
-    assert context.peer.patience_s == expected, context.peer.patience_s
+    assert context.peer.timeouts_s == expected, context.peer.timeouts_s
 
 
-@then('each part came once')
-def step_once(context: Context) -> None:
-    """Compare what came with the head."""
-    assert sorted(context.peer.came) == sorted(context.peer.head.parts)
+@then('each part was received once')
+def step_received_once(context: Context) -> None:
+    """Compare the received parts with the head."""
+    assert sorted(context.peer.received) == sorted(context.peer.head.parts)
--- a/features/steps/peers_stalls_steps.py
+++ b/features/steps/peers_stalls_steps.py
@@ -15,7 +15,7 @@
 
 def _readers(bench: PeersBench) -> list[str]:
     """Return the names of the peers that watch the platform."""
-    return [each.name for each in bench.peers.values() if each.reading]
+    return [each.name for each in bench.peers.values() if each.is_reading]
 
 
 @when(
@@ -75,7 +75,7 @@
     end_s = time.monotonic() + duration_s
     while time.monotonic() < end_s:
         for name in bench.peers:
-            assert not bench.some_think(name, Liveness.DEAD), name
+            assert not bench.any_peer_considers(name, Liveness.DEAD), name
         reading = _readers(bench)
         assert len(reading) == readers, reading
         bench.run(asyncio.sleep(POLL_S))
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -1,4 +1,4 @@
-"""Run peers on loopback and compare what they hold."""
+"""Run peers on loopback and compare their members and documents."""
 
 import asyncio
 
@@ -40,15 +40,15 @@
 
 @given('{number:d} peers in two regions and a platform')
 def given_peers_platform(context: Context, number: int) -> None:
-    """Start peers of which one in each region has to read."""
+    """Start peers of which one per region reads from the platform."""
     context.bench = PeersBench(context)
     context.bench.store = FakeStore()
     context.bench.start(number)
 
 
-@given('peer "{name}" listens and joins only after "{other}" asked it')
+@given('peer "{name}" listens and joins only after "{other}" called it')
 def given_late_join(context: Context, name: str, other: str) -> None:
-    """Have one peer pull the table of another that has not joined yet."""
+    """Let a peer pull the table of another that has not joined yet."""
     context.bench = PeersBench(context)
     late = context.bench.listen(name, 0)
     context.bench.add(other, 1)
@@ -57,7 +57,7 @@
 
 @then('the tables of all peers are equal')
 def then_equal_tables(context: Context) -> None:
-    """Wait until all hashes are the same."""
+    """Wait until the table hashes of all peers are equal."""
     bench = context.bench
     bench.until(
         lambda: len({p.node.table.hash for p in bench.peers.values()}) == 1,
@@ -65,117 +65,117 @@
     )
 
 
-@given('no seed is known to anybody')
+@given('no peer has a seed')
 def given_no_seed(context: Context) -> None:
-    """Leave the peers what they know of each other."""
+    """Remove the seeds; known members stay."""
     context.bench.contacts.clear()
 
 
-@given('"{name}" checks no sign-off')
-def given_no_check(context: Context, name: str) -> None:
-    """Take the guard of one peer away."""
-    context.bench.peers[name].guard_strict = False
+@given('"{name}" does not validate bundles')
+def given_no_validation(context: Context, name: str) -> None:
+    """Disable validation at one peer."""
+    context.bench.peers[name].validates_bundles = False
 
 
 @given('a third of the messages are lost')
 def given_loss(context: Context) -> None:
-    """Lose messages at random."""
-    context.bench.network.lose(0.33)
+    """Lose a third of the messages at random."""
+    context.bench.network.set_loss(0.33)
 
 
-@when('a fetch takes {fetch_ms:d} ms longer')
-def when_slow(context: Context, fetch_ms: int) -> None:
-    """Let documents come later than all other answers."""
-    context.bench.network.fetch_s = fetch_ms / 1000
+@when('each fetch is delayed by {fetch_ms:d} ms')
+def when_fetches_delayed(context: Context, fetch_ms: int) -> None:
+    """Delay documents so that they arrive after other answers."""
+    context.bench.network.fetch_delay_s = fetch_ms / 1000
 
 
-@when('"{name}" takes version {version:d} of the bundle')
-def when_rolls(context: Context, name: str, version: int) -> None:
-    """Give a version to one peer."""
-    context.bench.roll(name, version, b'bundle %d' % version)
+@when('"{name}" accepts version {version:d} of the bundle')
+def when_accepts(context: Context, name: str, version: int) -> None:
+    """Offer a newer version to one peer."""
+    context.bench.accept(name, version, b'bundle %d' % version)
 
 
 @when(
-    '"{name}" takes version {version:d} with the parts "{one}" and "{other}"'
+    '"{name}" accepts version {version:d} with the parts "{one}" and "{other}"'
 )
-def when_rolls_parts(
+def when_accepts_parts(
     context: Context, name: str, version: int, one: str, other: str
 ) -> None:
-    """Give a version of two parts to one peer."""
-    context.bench.roll(name, version, one.encode(), other.encode())
+    """Offer a newer version of two parts to one peer."""
+    context.bench.accept(name, version, one.encode(), other.encode())
 
 
 @when(
-    '"{one}" takes version {first:d} and "{other}" version {second:d} of the'
+    '"{one}" accepts version {first:d} and "{other}" version {second:d} of the'
     ' bundle'
 )
-def when_rolls_twice(
+def when_two_accept(
     context: Context, one: str, first: int, other: str, second: int
 ) -> None:
-    """Give two versions to two peers with no time between."""
-    context.bench.roll(one, first, b'one')
-    context.bench.roll(other, second, b'other')
+    """Offer two versions to two peers without delay between them."""
+    context.bench.accept(one, first, b'one')
+    context.bench.accept(other, second, b'other')
 
 
-@when('peer "{name}" is cut off')
-def when_cut_off(context: Context, name: str) -> None:
-    """Cut all paths of a peer."""
+@when('peer "{name}" is disconnected')
+def when_disconnected(context: Context, name: str) -> None:
+    """Interrupt all paths of a peer."""
     bench = context.bench
-    bench.network.put(bench.peers[name].address, 1)
+    bench.network.set_group(bench.peers[name].address, 1)
 
 
-@when('peer "{name}" is back')
-def when_back(context: Context, name: str) -> None:
-    """Mend the paths of a peer."""
+@when('peer "{name}" is reconnected')
+def when_reconnected(context: Context, name: str) -> None:
+    """Restore the paths of a peer."""
     bench = context.bench
-    bench.network.put(bench.peers[name].address, 0)
+    bench.network.set_group(bench.peers[name].address, 0)
 
 
-@when('version {version:d} is in force at all peers but "{name}"')
-def when_in_force_but(context: Context, version: int, name: str) -> None:
-    """Wait for a version at the others."""
+@when('version {version:d} is active at all peers but "{name}"')
+def when_active_but(context: Context, version: int, name: str) -> None:
+    """Wait for a version at all other peers."""
     bench = context.bench
     others = [peer for peer in bench.peers.values() if peer.name != name]
     bench.until(
         lambda: all(peer.version == version for peer in others),
-        f'version {version} at the others',
+        f'version {version} at the other peers',
     )
     assert bench.peers[name].version < version
 
 
-@when('the others have stopped telling of it')
-def when_told(context: Context) -> None:
-    """Wait until only the hashes show what is new."""
+@when('the other peers have no pending updates')
+def when_no_pending_updates(context: Context) -> None:
+    """Wait until only the hashes reveal the new version."""
     bench = context.bench
     bench.until(
         lambda: all(
             peer.node.pending_updates == 0 or peer.version == 0
             for peer in bench.peers.values()
         ),
-        'end of the news',
+        'end of the updates',
     )
 
 
-@when('"{name}" is given version {version:d} of the bundle')
-def when_given(context: Context, name: str, version: int) -> None:
-    """Give a version to one peer that it ought not to take."""
+@when('"{name}" is offered version {version:d} of the bundle')
+def when_offered_older(context: Context, name: str, version: int) -> None:
+    """Offer an older version; the peer must refuse it."""
     assert context.bench.offer(name, version, b'old') is False
 
 
-@when('a peer joins that holds version {version:d} of the bundle')
-def when_stale_joins(context: Context, version: int) -> None:
-    """Start a peer that is cut off, give it a bundle, then let it in."""
+@when('a peer joins with version {version:d} of the bundle')
+def when_stale_peer_joins(context: Context, version: int) -> None:
+    """Start a disconnected peer, offer it a bundle, then connect it."""
     bench = context.bench
     peer = bench.add('late', 5, group=1)
-    bench.roll('late', version, b'bundle %d' % version)
+    bench.accept('late', version, b'bundle %d' % version)
     assert peer.version == version
-    bench.network.put(peer.address, 0)
+    bench.network.set_group(peer.address, 0)
     bench.until_all_know(len(bench.peers))
 
 
-@when('all peers but "{survivor}" start again')
-def when_restart_all(context: Context, survivor: str) -> None:
-    """Kill all but one, then start them with the survivor as their seed."""
+@when('all peers but "{survivor}" restart')
+def when_others_restart(context: Context, survivor: str) -> None:
+    """Kill all but one, then start them with the survivor as seed."""
     bench = context.bench
     names = [name for name in bench.peers if name != survivor]
     for name in names:
@@ -185,9 +185,9 @@
         assert bench.add(name, index).versions[:1] != []
 
 
-@when('peer "{name}" starts again')
+@when('peer "{name}" restarts')
 def when_restarts(context: Context, name: str) -> None:
-    """Kill a peer and start it with a new address."""
+    """Kill a peer and start it on a new address."""
     bench = context.bench
     bench.kill(name)
     bench.add(name, 2)
@@ -195,26 +195,26 @@
 
 @when('no more messages are lost')
 def when_no_loss(context: Context) -> None:
-    """Mend the network."""
-    context.bench.network.lose(0.0)
+    """Stop losing messages."""
+    context.bench.network.set_loss(0.0)
 
 
 @when('version {version:d} of the bundle is written to the platform')
 def when_written(context: Context, version: int) -> None:
-    """Write parts and head."""
-    context.bench.write_roll(version)
+    """Write parts and head to the platform."""
+    context.bench.write_bundle(version)
 
 
 @when('the platform goes down for all peers')
 def when_platform_down(context: Context) -> None:
-    """Refuse all calls."""
+    """Let the platform refuse all calls."""
     context.bench.store.set_faults(FaultSwitches(down=Down.REFUSE))
 
 
 @when('{number:d} peers watch the platform')
 @then('{number:d} peers watch the platform')
 def when_watch(context: Context, number: int) -> None:
-    """Wait until so many watches wait."""
+    """Wait until the platform has this many waiting watches."""
     bench = context.bench
     bench.until(
         lambda: bench.store.counts.waiting_watches == number,
@@ -224,17 +224,17 @@
 
 @when('the peers that watch the platform are killed')
 def when_readers_killed(context: Context) -> None:
-    """End all readers without a word."""
+    """Kill all readers without notice to their peers."""
     bench = context.bench
-    reading = [peer.name for peer in bench.peers.values() if peer.reading]
+    reading = [peer.name for peer in bench.peers.values() if peer.is_reading]
     assert len(reading) == 2, reading
     for name in reading:
         bench.kill(name)
 
 
-@when('all peers start again at once')
-def when_herd(context: Context) -> None:
-    """Kill all peers, then start all with nothing but a seed."""
+@when('all peers restart at once')
+def when_all_restart(context: Context) -> None:
+    """Kill all peers, then start them all with only a seed."""
     bench = context.bench
     names = list(bench.peers)
     for name in names:
@@ -247,16 +247,16 @@
 
 @when('the VM list shows the VM of "{name}" as {state}')
 def when_listed(context: Context, name: str, state: str) -> None:
-    """Write a row of the list."""
+    """Write a row of the VM list."""
     bench = context.bench
     address = bench.peers[name].address
     bench.store.service.put_vm(Vm(name, address, 'z1', VmState(state)))
     bench.store.service.set_faults(FaultSwitches(vm_lag_s=0.0))
 
 
-@then('the role of each peer hears that the VM of "{name}" is {state}')
+@then('each peer reports the VM of "{name}" as {state}')
 def then_vm_state(context: Context, name: str, state: str) -> None:
-    """Wait until all peers give the state of the list."""
+    """Wait until all peers report the state in the list."""
     bench = context.bench
     address = bench.peers[name].address
     leaving = state == VmState.LEAVING.value
@@ -271,7 +271,7 @@
 
 @then('the parts were read from the platform at most {number:d} times')
 def then_parts_read(context: Context, number: int) -> None:
-    """Count at the platform."""
+    """Check the read counts of the platform."""
     calls = context.bench.store.counts.calls
     assert 1 <= calls['get'].get('parts', 0) <= number, calls
 
@@ -284,7 +284,7 @@
 
 @when('"{name}" has fetched and refused part "{part}"')
 def when_refused(context: Context, name: str, part: str) -> None:
-    """Wait until a part has been fetched by somebody for nothing."""
+    """Wait for two fetches of a part; the peer must not store it."""
     bench = context.bench
     digest = part_digest(part.encode())
     bench.until(
@@ -296,68 +296,73 @@
 
 @when('peer "{name}" is killed')
 def when_killed(context: Context, name: str) -> None:
-    """End a peer without a word."""
+    """Kill a peer without notice to its peers."""
     context.killed = context.bench.kill(name)
 
 
 @when('some peer suspects "{name}"')
 def when_suspected(context: Context, name: str) -> None:
-    """Wait for a suspicion."""
+    """Wait until any peer suspects another."""
     bench = context.bench
-    bench.until(lambda: bench.some_think(name, Liveness.SUSPECT), 'suspicion')
+    bench.until(
+        lambda: bench.any_peer_considers(name, Liveness.SUSPECT), 'suspicion'
+    )
 
 
 @when('the path between "{one}" and "{other}" breaks')
 def when_path_breaks(context: Context, one: str, other: str) -> None:
-    """Cut one path."""
+    """Interrupt the path between two peers."""
     bench = context.bench
     peers = bench.peers
-    bench.network.cut(peers[one].address, peers[other].address)
+    bench.network.interrupt(peers[one].address, peers[other].address)
 
 
-@when('"{one}" tries "{other}" through others')
-def when_tries(context: Context, one: str, other: str) -> None:
-    """Wait until both have come upon the broken path and asked others."""
+@when('"{one}" probes "{other}" through other peers')
+def when_probes_indirectly(context: Context, one: str, other: str) -> None:
+    """Wait for enough calls of the broken path for indirect probes."""
     network = context.bench.network
-    context.bench.until(lambda: network.refused >= 6, 'calls of a cut path')
+    context.bench.until(
+        lambda: network.interrupted_calls >= 6, 'calls of an interrupted path'
+    )
 
 
 @when(
-    '"{one}", "{two}" and "{three}" lose the others until they think them dead'
+    '"{one}", "{two}" and "{three}" are partitioned until all declare the'
+    ' others dead'
 )
-def when_halves(context: Context, one: str, two: str, three: str) -> None:
-    """Cut the fleet in two."""
+def when_partitioned(context: Context, one: str, two: str, three: str) -> None:
+    """Partition the fleet until each side declares the other dead."""
     bench = context.bench
     half = [one, two, three]
     for name in half:
-        bench.network.put(bench.peers[name].address, 1)
-    # Suspects are still called; only the dead are left alone.
+        bench.network.set_group(bench.peers[name].address, 1)
+    # Suspects are still called, so wait until the members are dead.
     bench.until(
         lambda: all(
             peer.node.counts.dead == len(half) for peer in bench.peers.values()
         ),
-        'halves that think each other dead',
+        'both sides dead to each other',
     )
 
 
-@when('the halves can hear each other again')
-def when_halves_meet(context: Context) -> None:
-    """Mend all paths."""
+@when('the partition heals')
+def when_partition_heals(context: Context) -> None:
+    """Restore all paths."""
     bench = context.bench
     for peer in bench.peers.values():
-        bench.network.put(peer.address, 0)
+        bench.network.set_group(peer.address, 0)
 
 
 @when('peer "{name}" is leaving')
 def when_leaving(context: Context, name: str) -> None:
-    """Have a peer say that it takes no new work."""
+    """Let a peer announce that it accepts no new work."""
     context.bench.run(context.bench.peers[name].node.announce_leaving())
 
 
-@when('version {version:d} is in force at all peers')
-@then('version {version:d} is in force at all peers')
-def then_in_force(context: Context, version: int) -> None:
-    """Wait for a version everywhere."""
+@when('version {version:d} is active at all peers')
+@then('version {version:d} is active at all peers')
+def then_active(context: Context, version: int) -> None:
+    """Wait until a version is active at all peers."""
     context.bench.until_version(version)
 
 
@@ -368,41 +373,41 @@
 def then_fetched(
     context: Context, one: str, first: int, other: str, second: int
 ) -> None:
-    """Count how often parts were asked for."""
+    """Check how often each part was fetched."""
     fetched = context.bench.network.parts_fetched
     assert fetched.count(part_digest(one.encode())) == first, fetched
     assert fetched.count(part_digest(other.encode())) == second, fetched
 
 
-@then('no peer ever went back to an earlier version')
+@then('no peer ever reverted to an earlier version')
 def then_monotonic(context: Context) -> None:
-    """Look at all versions that were in force."""
+    """Check that the active versions of each peer only increased."""
     for peer in context.bench.peers.values():
         assert peer.versions == sorted(set(peer.versions)), peer.versions
 
 
-@then('only "{name}" ever had version {version:d} in force')
+@then('only "{name}" ever had version {version:d} active')
 def then_only(context: Context, name: str, version: int) -> None:
-    """Look for a version at all peers."""
+    """Check which peers ever activated a version."""
     for peer in context.bench.peers.values():
         assert (version in peer.versions) == (peer.name == name), peer.name
 
 
 @then('all {number:d} peers know each other')
 def then_all_know(context: Context, number: int) -> None:
-    """Wait until all know so many members alive."""
+    """Wait until all peers know this many live members."""
     context.bench.until_all_know(number)
 
 
 @then('all agree that "{name}" is dead')
 def then_dead(context: Context, name: str) -> None:
     """Wait for the agreement of all."""
-    context.bench.until_all_think(name, _is_dead)
+    context.bench.until_all_agree(name, _is_dead)
 
 
-@then('no peer gives the address of "{name}" to its role')
-def then_no_address(context: Context, name: str) -> None:
-    """Look at what routers are told."""
+@then('no peer lists the address of "{name}" as an agent')
+def then_not_listed(context: Context, name: str) -> None:
+    """Check the agent addresses of all peers."""
     address = context.killed.address
     for peer in context.bench.peers.values():
         assert address not in peer.node.members.agent_addresses(), name
@@ -410,15 +415,15 @@
 
 @then('all agree that "{name}" is alive')
 def then_alive(context: Context, name: str) -> None:
-    """Wait until all hold the refutation."""
-    context.bench.until_all_think(name, _is_refuted)
+    """Wait until all peers have the refutation."""
+    context.bench.until_all_agree(name, _is_refuted)
 
 
 @then('all agree that "{name}" is leaving')
 def then_leaving(context: Context, name: str) -> None:
     """Wait for the agreement of all."""
     bench = context.bench
-    bench.until_all_think(name, _is_leaving)
+    bench.until_all_agree(name, _is_leaving)
     address = bench.peers[name].address
     for peer in bench.peers.values():
         assert peer.node.members.is_leaving(address), peer.name
@@ -426,19 +431,19 @@
 
 @then('all agree on the new address of "{name}"')
 def then_address(context: Context, name: str) -> None:
-    """Wait until all hold the record of the new run."""
+    """Wait until all have the record of the new incarnation."""
     bench = context.bench
     address = bench.peers[name].address
-    bench.until_all_think(name, lambda record: record.address == address)
+    bench.until_all_agree(name, lambda record: record.address == address)
     bench.until_all_know(4)
 
 
-@then('nobody suspects "{one}" or "{other}"')
-def then_nobody_suspects(context: Context, one: str, other: str) -> None:
-    """Look at what all think, over several periods of exchange."""
+@then('no peer suspects "{one}" or "{other}"')
+def then_no_suspicion(context: Context, one: str, other: str) -> None:
+    """Check the liveness at all peers over several exchange periods."""
     bench = context.bench
     for _ in range(40):
         for name in (one, other):
-            assert not bench.some_think(name, Liveness.SUSPECT), name
-            assert not bench.some_think(name, Liveness.DEAD), name
+            assert not bench.any_peer_considers(name, Liveness.SUSPECT), name
+            assert not bench.any_peer_considers(name, Liveness.DEAD), name
         bench.run(asyncio.sleep(0.01))
--- a/features/support/peers_bench.py
+++ b/features/support/peers_bench.py
@@ -1,4 +1,4 @@
-"""Run several peers in one process over loopback, with faults between."""
+"""Run peers in one process over loopback with simulated faults."""
 
 import asyncio
 import time
@@ -47,49 +47,49 @@
 T = TypeVar('T')
 
 BUNDLE = DocumentName(DocumentKind.BUNDLE, 'bundle')
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 _POLL_S = 0.01
-_WRONG = b'wrong'
-_GRAVE = -1
-QUICK = PeerSettings(
+_INVALID_PART = b'wrong'
+_KILLED_GROUP = -1
+FAST_SETTINGS = PeerSettings(
     exchange_s=0.05, probe_s=0.3, suspect_s=0.6, vm_list_s=0.05, readers=1
 )
 _ZONES = (('r1', 'z1'), ('r1', 'z2'), ('r2', 'z3'), ('r2', 'z4'))
 
 
 class Network:
-    """Cut paths between peers and lose a share of the calls."""
+    """Interrupt paths between peers and lose a fraction of messages."""
 
     def __init__(self) -> None:
         self._rng = Random(6)
         self._groups: dict[str, int] = {}
-        self._cut_pairs: set[tuple[str, str]] = set()
-        self._lose_share = 0.0
-        self.fetch_s = 0.0
+        self._interrupted_paths: set[tuple[str, str]] = set()
+        self._loss_fraction = 0.0
+        self.fetch_delay_s = 0.0
         self.parts_fetched: list[str] = []
-        self.refused = 0
+        self.interrupted_calls = 0
 
-    def put(self, address: str, group: int) -> None:
-        """Put an address into a group; only its members hear each other."""
+    def set_group(self, address: str, group: int) -> None:
+        """Set the group of an address; groups are mutually unreachable."""
         self._groups[address] = group
 
-    def cut(self, one: str, other: str) -> None:
-        """Cut the path between two addresses."""
-        self._cut_pairs.add((one, other))
-        self._cut_pairs.add((other, one))
+    def interrupt(self, one: str, other: str) -> None:
+        """Interrupt the path between two addresses."""
+        self._interrupted_paths.add((one, other))
+        self._interrupted_paths.add((other, one))
 
-    def lose(self, share: float) -> None:
-        """Lose a share of the calls, and as many of the answers."""
-        self._lose_share = share
+    def set_loss(self, fraction: float) -> None:
+        """Lose this fraction of the calls and of the answers."""
+        self._loss_fraction = fraction
 
-    def passes(self, caller: str, callee: str) -> bool:
-        """Draw whether a message gets through."""
-        if (caller, callee) in self._cut_pairs:
-            self.refused += 1
+    def delivers(self, caller: str, callee: str) -> bool:
+        """Return, at random for losses, whether a message is delivered."""
+        if (caller, callee) in self._interrupted_paths:
+            self.interrupted_calls += 1
             return False
         if self._groups.get(caller, 0) != self._groups.get(callee, 0):
             return False
-        return self._rng.random() >= self._lose_share
+        return self._rng.random() >= self._loss_fraction
 
 
 class _FaultyChannels(PeerChannels):
@@ -106,22 +106,22 @@
         reply_type: type[T],
         timeout_s: float,
     ) -> T | PeerCallFailed:
-        if not self._network.passes(self.address, address):
-            return PeerCallFailed('cut')
+        if not self._network.delivers(self.address, address):
+            return PeerCallFailed('call lost')
         if method == FETCH_METHOD:
             digests = getattr(request, 'digests', ())
             self._network.parts_fetched.extend(digests)
-            await asyncio.sleep(self._network.fetch_s)
+            await asyncio.sleep(self._network.fetch_delay_s)
         answer = await super().call(
             address, method, request, reply_type, timeout_s
         )
-        if not self._network.passes(address, self.address):
+        if not self._network.delivers(address, self.address):
             return PeerCallFailed('answer lost')
         return answer
 
 
 class Peer:
-    """Hold one peer, its server and the versions it had in force."""
+    """A peer with its server and the bundle versions it accepted."""
 
     def __init__(
         self,
@@ -133,8 +133,8 @@
     ) -> None:
         self.name = name
         self._store = store
-        self._reader: asyncio.Task[None] | None = None
-        self._platform: PlatformReader | None = None
+        self._reader_task: asyncio.Task[None] | None = None
+        self._platform_reader: PlatformReader | None = None
         self.versions: list[int] = []
         self._network = network
         region, zone = _ZONES[index % len(_ZONES)]
@@ -143,73 +143,85 @@
             role=role,
             process_id=name,
             place=Place(region, zone),
-            peers=QUICK,
+            peers=FAST_SETTINGS,
             worker=WorkerSettings(url='http://127.0.0.1:1', service='s'),
         )
         self.channels = _FaultyChannels(network)
         self.node = PeerNode(
             ProcessName(name, new_incarnation()),
             settings,
-            {DocumentKind.BUNDLE: self._guard},
+            {DocumentKind.BUNDLE: self._validate},
             lambda: tuple(contacts),
             Random(index),
             self.channels,
         )
-        self.guard_strict = True
-        self.node.documents.on_change(DocumentKind.BUNDLE, self._note)
+        self.validates_bundles = True
+        self.node.documents.on_change(
+            DocumentKind.BUNDLE, self._record_version
+        )
         self._server = PeersServer(settings, [self.node.service])
 
     @property
     def address(self) -> str:
-        """Return the address it listens on."""
+        """Return the address on which it listens."""
         return self._server.address
 
     @property
     def version(self) -> int:
-        """Return the version of the bundle in force, 0 for none."""
+        """Return the active version of the bundle, 0 for none."""
         return self.node.documents.version(BUNDLE)
 
     @property
-    def reading(self) -> bool:
-        """Tell whether it watches the platform."""
-        return self._platform is not None and self._platform.is_reading
+    def is_reading(self) -> bool:
+        """Return whether it watches the platform."""
+        return (
+            self._platform_reader is not None
+            and self._platform_reader.is_reading
+        )
 
     async def listen(self, group: int) -> None:
-        """Listen, without a word to anybody yet."""
+        """Start the listener without calling any peer."""
         await self._server.start()
         self.channels.address = self.address
-        self._network.put(self.address, group)
+        self._network.set_group(self.address, group)
 
     async def join(self) -> None:
-        """Look around and join."""
+        """Discover peers and join the fleet."""
         await self.node.discover()
         self.node.start(self.address)
         if self._store is not None:
-            self._reader = asyncio.create_task(self._read(self._store))
+            self._reader_task = asyncio.create_task(
+                self._read_platform(self._store)
+            )
 
     async def kill(self) -> None:
-        """End without a word."""
-        # The server goes on answering over connections that are open.
-        self._network.put(self.address, _GRAVE)
+        """Stop without notice to the peers."""
+        # The server still answers over its open connections.
+        self._network.set_group(self.address, _KILLED_GROUP)
         self._server.stop()
-        if self._reader is not None:
-            self._reader.cancel()
-            await asyncio.wait([self._reader])
+        if self._reader_task is not None:
+            self._reader_task.cancel()
+            await asyncio.wait([self._reader_task])
         await self.node.close()
         await self._server.wait_closed()
 
-    async def _read(self, store: FakeStore) -> None:
-        self._platform = PlatformReader(
-            self.node, store, QUICK, _followed, _take_no_list, Random(7)
+    async def _read_platform(self, store: FakeStore) -> None:
+        self._platform_reader = PlatformReader(
+            self.node,
+            store,
+            FAST_SETTINGS,
+            _watched_documents,
+            _ignore_list,
+            Random(7),
         )
-        await self._platform.run(contacts=1)
+        await self._platform_reader.run(contacts=1)
 
-    def _guard(self, document: Document) -> Refusal | None:
-        if self.guard_strict and _WRONG in document.parts:
+    def _validate(self, document: Document) -> Refusal | None:
+        if self.validates_bundles and _INVALID_PART in document.parts:
             return not_run(Reason.BAD_REQUEST, 'not signed off')
         return None
 
-    def _note(self, document: Document) -> None:
+    def _record_version(self, document: Document) -> None:
         self.versions.append(document.head.version)
 
 
@@ -225,29 +237,29 @@
         self.store: FakeStore | None = None
         self._loop_blocker: asyncio.Task[None] | None = None
 
-    def run(self, work: Coroutine[Any, Any, T]) -> T:
+    def run(self, coroutine: Coroutine[Any, Any, T]) -> T:
         """Run a coroutine to its end in the scenario's event loop."""
-        result: T = self._runner.run(work)
+        result: T = self._runner.run(coroutine)
         return result
 
-    def start_loop_blocker(self, work: Coroutine[Any, Any, None]) -> None:
+    def start_loop_blocker(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Start a task that blocks the event loop of the peers."""
-        self._loop_blocker = self._runner.get_loop().create_task(work)
+        self._loop_blocker = self._runner.get_loop().create_task(coroutine)
 
     def start(self, number: int) -> None:
-        """Start peers that know the first as their seed."""
+        """Start peers that have the first one as their seed."""
         for index in range(number):
             self.add(f'p{index + 1}', index)
         self.until_all_know(number)
 
     def add(self, name: str, index: int, group: int = 0) -> Peer:
-        """Start one peer, in a group of the network."""
+        """Start one peer in a group of the network and let it join."""
         peer = self.listen(name, index, group)
         self.run(peer.join())
         return peer
 
     def listen(self, name: str, index: int, group: int = 0) -> Peer:
-        """Have one peer listen that joins later."""
+        """Start the listener of a peer that joins later."""
         peer = Peer(name, index, self.contacts, self.network, self.store)
         self.peers[name] = peer
         self.run(peer.listen(group))
@@ -256,22 +268,22 @@
         return peer
 
     def kill(self, name: str) -> Peer:
-        """End a peer without a word."""
+        """Kill a peer without notice to its peers."""
         peer = self.peers.pop(name)
         self.run(peer.kill())
         return peer
 
-    def roll(self, name: str, version: int, *parts: bytes) -> None:
-        """Have one peer take a bundle, as if it had read the platform."""
+    def accept(self, name: str, version: int, *parts: bytes) -> None:
+        """Let one peer accept a bundle as if read from the platform."""
         found = self.offer(name, version, *parts)
         assert found is True, found
 
     def offer(self, name: str, version: int, *parts: bytes) -> bool | Refusal:
-        """Give a bundle to one peer and return what it says."""
-        return self.run(self._accept(name, version, parts))
+        """Offer a bundle to one peer and return its answer."""
+        return self.run(self._accept_bundle(name, version, parts))
 
-    def write_roll(self, version: int) -> None:
-        """Write a bundle to the platform, as an operator's tool does."""
+    def write_bundle(self, version: int) -> None:
+        """Write a bundle to the platform as an operator's tool does."""
         assert self.store is not None
         part = b'bundle %d' % version
         digest = part_digest(part)
@@ -287,44 +299,46 @@
         assert not isinstance(written, StoreError), written
 
     def until(self, condition: Callable[[], bool], what: str) -> None:
-        """Let the peers run until a condition holds."""
+        """Run the peers until a condition holds."""
         self.run(_until(condition, what))
 
     def until_all_know(self, number: int) -> None:
-        """Wait until each peer knows so many living members."""
+        """Wait until each peer knows this many live members."""
 
-        def complete() -> bool:
+        def all_known() -> bool:
             return all(
                 peer.node.counts.alive == number
                 for peer in self.peers.values()
             )
 
-        self.until(complete, f'{number} members known to all')
+        self.until(all_known, f'{number} members known to all peers')
 
     def until_version(self, version: int) -> None:
-        """Wait until a version is in force at all peers."""
+        """Wait until a version is active at all peers."""
 
-        def in_force() -> bool:
+        def is_active() -> bool:
             return all(peer.version == version for peer in self.peers.values())
 
-        self.until(in_force, f'version {version} everywhere')
+        self.until(is_active, f'version {version} at all peers')
 
-    def until_all_think(
-        self, name: str, fits: Callable[[MemberRecord], bool]
+    def until_all_agree(
+        self, name: str, matches: Callable[[MemberRecord], bool]
     ) -> None:
-        """Wait until what all others hold of a peer fits."""
+        """Wait until the records of a peer at all other peers match."""
 
-        def fit() -> bool:
+        def all_match() -> bool:
             for peer in self.peers.values():
                 record = peer.node.table.get(name)
-                if peer.name != name and (record is None or not fits(record)):
+                if peer.name != name and (
+                    record is None or not matches(record)
+                ):
                     return False
             return True
 
-        self.until(fit, f'agreement on {name}')
+        self.until(all_match, f'agreement on {name}')
 
-    def some_think(self, name: str, liveness: Liveness) -> bool:
-        """Tell whether any peer thinks so of another."""
+    def any_peer_considers(self, name: str, liveness: Liveness) -> bool:
+        """Return whether any peer has a record with this liveness."""
         for peer in self.peers.values():
             record = peer.node.table.get(name)
             if record is not None and record.liveness is liveness:
@@ -332,32 +346,34 @@
         return False
 
     def close(self) -> None:
-        """End all peers."""
+        """Kill all peers."""
         if self._loop_blocker is not None:
             self._loop_blocker.cancel()
         for name in list(self.peers):
             self.kill(name)
 
-    async def _accept(
+    async def _accept_bundle(
         self, name: str, version: int, parts: tuple[bytes, ...]
     ) -> bool | Refusal:
-        # In the event loop: accepting wakes the task that tells the peers.
+        # Runs in the event loop because accepting wakes the gossip task.
         digests = tuple(part_digest(part) for part in parts)
         head = DocumentHead(BUNDLE, version, digests)
-        held: Mapping[str, bytes] = dict(zip(digests, parts, strict=True))
-        return self.peers[name].node.documents.accept(head, held)
+        parts_by_digest: Mapping[str, bytes] = dict(
+            zip(digests, parts, strict=True)
+        )
+        return self.peers[name].node.documents.accept(head, parts_by_digest)
 
 
-def _followed() -> tuple[DocumentName, ...]:
+def _watched_documents() -> tuple[DocumentName, ...]:
     return (BUNDLE,)
 
 
-def _take_no_list(_vms: Iterable[Vm]) -> None:
-    """Leave it to the notes what the list says."""
+def _ignore_list(_vms: Iterable[Vm]) -> None:
+    """Ignore the VM list; the scenarios check the VM notes."""
 
 
 async def _until(condition: Callable[[], bool], what: str) -> None:
-    deadline_s = time.monotonic() + PATIENCE_S
+    deadline_s = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline_s, f'no {what} in {PATIENCE_S} s'
+        assert time.monotonic() < deadline_s, f'no {what} in {TIMEOUT_S} s'
         await asyncio.sleep(_POLL_S)
