--- a/features/support/peers_bench.py
+++ b/features/support/peers_bench.py
@@ -121,7 +121,7 @@
 
 
 class Peer:
-    """A peer with its server and the bundle versions it accepted."""
+    """Run one peer and record the bundle versions it accepted."""
 
     def __init__(
         self,
--- a/packages/daemon/src/lacewing_daemon/peers/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet membership and document distribution by gossip."""
+"""Maintain fleet membership and distribute documents by gossip."""
 
 from lacewing_daemon.peers._channels import PeerCallFailed
 from lacewing_daemon.peers._channels import PeerChannels
--- a/packages/daemon/src/lacewing_daemon/peers/_channels.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_channels.py
@@ -1,4 +1,4 @@
-"""Calls to peers over shared connections."""
+"""Call peers over shared connections."""
 
 import asyncio
 import ssl
--- a/packages/daemon/src/lacewing_daemon/peers/_dissemination.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_dissemination.py
@@ -1,4 +1,4 @@
-"""Queue of updates that are each sent a bounded number of times."""
+"""Queue updates, each to be sent a bounded number of times."""
 
 from collections.abc import Hashable
 from math import ceil
--- a/packages/daemon/src/lacewing_daemon/peers/_metrics.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the exchanges between peers."""
+"""Define the metrics of the exchanges between peers."""
 
 from prometheus_client import Counter
 from prometheus_client import Gauge
--- a/packages/daemon/src/lacewing_daemon/peers/_reader.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_reader.py
@@ -16,7 +16,7 @@
 from lacewing_daemon.peers._election import Election
 from lacewing_daemon.peers._election import ReaderRole
 from lacewing_daemon.peers._node import PeerNode
-from lacewing_daemon.peers._vm_list import TakeList
+from lacewing_daemon.peers._vm_list import VmListCallback
 from lacewing_daemon.peers._vm_list import VmListReader
 
 _FIRST_READ_TIMEOUT_S = 1.0
@@ -27,7 +27,7 @@
 _MIN_SPREAD_S = 0.2
 _ISOLATED_READS_PER_S = 100.0
 _MIN_ISOLATED_PERIODS = 5.0
-# Exchange periods for which a process that stops reading keeps the VM list.
+# Exchange periods for which a process that is no reader keeps the VM list.
 _RETAIN_LIST_ROUNDS = 60
 
 _log = get_log(Part.MEMBERS)
@@ -36,8 +36,8 @@
 class PlatformReader:
     """Watch documents and poll the VM list while this process is a reader.
 
-    ``follow`` returns the names of the documents to watch; ``take_list`` is
-    called with each VM list read.
+    ``watched_documents`` returns the names of the documents to watch;
+    ``on_vm_list`` is called with each VM list read.
     """
 
     def __init__(
@@ -45,20 +45,20 @@
         node: PeerNode,
         platform: ObjectReads,
         settings: PeerSettings,
-        follow: Callable[[], tuple[DocumentName, ...]],
-        take_list: TakeList,
+        watched_documents: Callable[[], tuple[DocumentName, ...]],
+        on_vm_list: VmListCallback,
         rng: Random,
     ) -> None:
         self._node = node
         self._settings = settings
-        self._follow = follow
+        self._watched_documents = watched_documents
         self._rng = rng
         self._election = Election(settings, node.table, node.clock)
         self._document_watcher = DocumentWatcher(platform, node.documents, rng)
         self._vm_list = VmListReader(
-            platform, node.vm_notes, take_list, settings.vm_list_s, rng
+            platform, node.vm_notes, on_vm_list, settings.vm_list_s, rng
         )
-        self._take_list = take_list
+        self._on_vm_list = on_vm_list
         self._listen_rounds = 0
         self._logged_role: ReaderRole | None = None
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -127,7 +127,7 @@
         )
 
     def _expire_list(self) -> None:
-        """Discard the list some time after this process stopped reading it.
+        """Discard the list some time after other processes took over.
 
         If kept, its addresses would be called indefinitely, long after their
         VMs were removed. If discarded immediately, a process that has just
@@ -135,7 +135,7 @@
         """
         self._listen_rounds += 1
         if self._listen_rounds == _RETAIN_LIST_ROUNDS:
-            self._take_list(())
+            self._on_vm_list(())
 
     async def _read_isolated(self) -> None:
         """Read once after a delay proportional to the number of processes.
@@ -151,12 +151,14 @@
             is not ReaderRole.ISOLATED
         ):
             return
-        for name in self._follow():
+        for name in self._watched_documents():
             await self._document_watcher.read(name)
         await self._vm_list.read()
 
     def _start_tasks(self) -> None:
-        wanted = {self._task_key(name): name for name in self._follow()}
+        wanted = {
+            self._task_key(name): name for name in self._watched_documents()
+        }
         for key, name in wanted.items():
             self._start_task(key, self._document_watcher.watch(name))
         self._start_task('vm-list', self._poll_vm_list())
--- a/packages/daemon/src/lacewing_daemon/peers/_running_clock.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_running_clock.py
@@ -14,7 +14,7 @@
 
 
 class RunningClock:
-    """A monotonic clock that excludes the delay of late wake-ups.
+    """Provide a monotonic clock that excludes late wake-ups.
 
     Answers of peers stay unread while this process is not scheduled or its
     event loop is blocked. Counting that time as silence would mark healthy
--- a/packages/daemon/src/lacewing_daemon/peers/_service.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_service.py
@@ -1,4 +1,4 @@
-"""gRPC service for the calls of peers."""
+"""Serve the calls of peers over gRPC."""
 
 from random import Random
 from typing import Any
--- a/packages/daemon/src/lacewing_daemon/peers/_table.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_table.py
@@ -1,4 +1,4 @@
-"""Member table: the records of all known processes of the fleet."""
+"""Hold the records of all known processes of the fleet."""
 
 import time
 from collections.abc import Callable
--- a/packages/daemon/src/lacewing_daemon/peers/_vm_list.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_vm_list.py
@@ -19,7 +19,7 @@
 _RETRY_CAP_S = 8.0
 
 _log = get_log(Part.MEMBERS)
-TakeList = Callable[[Iterable[Vm]], None]
+VmListCallback = Callable[[Iterable[Vm]], None]
 
 
 class VmListReader:
@@ -34,7 +34,7 @@
         self,
         platform: ObjectReads,
         notes: VmNotes,
-        on_list: TakeList,
+        on_list: VmListCallback,
         period_s: float,
         rng: Random,
     ) -> None:
--- a/packages/daemon/src/lacewing_daemon/peers/_vm_notes.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_vm_notes.py
@@ -1,4 +1,4 @@
-"""VM states from the platform's list, as shared between peers."""
+"""Hold VM states from the platform's list, shared between peers."""
 
 import time
 from collections.abc import Callable
