--- a/packages/daemon/src/lacewing_daemon/peers/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Join the fleet: know its members and share its documents."""
+"""Maintain fleet membership and distribute documents by gossip."""
 
 from lacewing_daemon.peers._channels import PeerCallFailed
 from lacewing_daemon.peers._channels import PeerChannels
