--- a/packages/bench/src/lacewing_bench/experiment/__main__.py
+++ b/packages/bench/src/lacewing_bench/experiment/__main__.py
@@ -1,4 +1,4 @@
-"""Try variants side by side: ``python -m lacewing_bench.experiment``."""
+"""Compare policy variants: ``python -m lacewing_bench.experiment``."""
 
 import json
 from collections.abc import Iterator
@@ -18,15 +18,15 @@
 from lacewing_bench.experiment._simulation import Variant
 from lacewing_bench.experiment._site import Deployment
 from lacewing_bench.experiment._site import DEPLOYMENTS
-from lacewing_bench.experiment._sweep import changed
+from lacewing_bench.experiment._sweep import sweep_cases
 
-# The product as it is, each mechanism off alone, and one router that sees
-# all load, which is the limit of what routers could know.
+# The product as is, each mechanism disabled alone, and a single router that
+# sees all load, the upper bound of what routers could know.
 VARIANTS = (
     Variant('as it is'),
-    Variant('no refusing', refusing=False),
-    Variant('no learning of lateness', learning=False),
-    Variant('no learning of speeds', estimating=False),
+    Variant('no refusing', refuse_late=False),
+    Variant('no learning of lateness', learn_lateness=False),
+    Variant('no learning of speeds', learn_speed=False),
     Variant('all load at once', LoadPolicy(load_early_part=1.0)),
     Variant('no drain before loads', LoadPolicy(lost_run_ms=0.0)),
     Variant('old weights count full', LoadPolicy(old_weights_ms=0.0)),
@@ -47,55 +47,61 @@
     output: str = 'build/experiment',
     sweep: bool = False,
 ) -> None:
-    """Play all variants on the same load; print a table, write JSON, plot.
+    """Simulate all variants on the same load; print a table, write JSON, plot.
 
-    With ``sweep`` the product as it is, on other speeds, slots and counts of
-    engines in place of variants.
+    With ``sweep``, simulate the product as is on other speeds, slots and
+    numbers of engines instead of the variants.
 
     Args:
         deployment: lahore, moravia or grown.
-        load: times the usual rate of requests.
-        seconds: virtual seconds of each play.
-        seeds: plays of each variant.
-        named_every_s: new weights are named this often; 0: never.
-        crash_every_s: an engine crashes this often; 0: never.
-        output: a folder for ``experiment.json`` and ``experiment.png``.
-        sweep: vary the engines.
+        load: multiple of the usual request rate.
+        seconds: virtual seconds of each simulation.
+        seeds: simulations of each variant.
+        named_every_s: interval between weight releases; 0: never.
+        crash_every_s: interval between engine crashes; 0: never.
+        output: the directory for ``experiment.json`` and ``experiment.png``.
+        sweep: vary the engines instead of the policy.
     """
     site = DEPLOYMENTS[deployment]
     pattern = Pattern(load, seconds, named_every_s, crash_every_s)
     rows = []
-    played: dict[str, list[dict[str, float]]] = {}
+    figures_by_case: dict[str, list[dict[str, float]]] = {}
     for name, row_site, variant in _cases(site, sweep):
-        plays = []
+        results = []
         for seed in range(seeds):
-            plays.append(Simulation(row_site, pattern, variant, seed).run())
-        rows.append(_row(name, plays))
-        played[name] = [play.as_dict() for play in plays]
+            results.append(Simulation(row_site, pattern, variant, seed).run())
+        rows.append(_row(name, results))
+        figures_by_case[name] = [result.as_dict() for result in results]
     first = 'engines' if sweep else 'variant'
     print(tabulate(rows, (first, *_FIGURES, 'worth +-'), floatfmt='.3f'))
     folder = Path(output)
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / 'experiment.json').write_text(json.dumps(played, indent=1))
-    plot_worth(played, f'{deployment}, load {load}', folder / 'experiment.png')
+    (folder / 'experiment.json').write_text(
+        json.dumps(figures_by_case, indent=1)
+    )
+    plot_worth(
+        figures_by_case,
+        f'{deployment}, load {load}',
+        folder / 'experiment.png',
+    )
 
 
 def _cases(
     site: Deployment, sweep: bool
 ) -> Iterator[tuple[str, Deployment, Variant]]:
     if sweep:
-        for one in changed(site):
-            yield one.name, one.site, VARIANTS[0]
+        for case in sweep_cases(site):
+            yield case.name, case.site, VARIANTS[0]
         return
     for variant in VARIANTS:
         yield variant.name, site, variant
 
 
-def _row(name: str, plays: Sequence[Figures]) -> tuple[object, ...]:
+def _row(name: str, results: Sequence[Figures]) -> tuple[object, ...]:
     means = []
     for figure in _FIGURES:
-        means.append(mean(getattr(play, figure) for play in plays))
-    return (name, *means, pstdev(play.worth for play in plays))
+        means.append(mean(getattr(result, figure) for result in results))
+    return (name, *means, pstdev(result.worth for result in results))
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/lacewing_bench/experiment/_engine.py
+++ b/packages/bench/src/lacewing_bench/experiment/_engine.py
@@ -1,8 +1,8 @@
-"""Model an engine that batches continuously, in virtual milliseconds.
+"""Model an engine with continuous batching, in virtual milliseconds.
 
-Prompts are read in pieces between the tokens of other runs, a step takes
-longer the more runs there are and the more memory they hold, memory is
-shared by runs and cached parts, and new weights empty the cache.
+Prompts are prefilled in chunks between the tokens of other runs. A step takes
+longer the more runs there are and the more memory they use. Runs and cached
+parts share the memory, and loading weights empties the cache.
 """
 
 from collections import OrderedDict
@@ -14,71 +14,71 @@
 
 @dataclass(frozen=True)
 class EngineModel:
-    """Hold an engine's figures; times in ms.
+    """Hold the parameters of an engine; times in ms.
 
-    ``stride``: tokens of an event, all but a stream's first one.
+    ``tokens_per_event`` holds for all events but a stream's first one.
     """
 
     slots: int = 48
     kv_tokens: int = 112_000
     step_ms: float = 6.1
-    step_ms_a_run: float = 0.041
-    step_ms_a_kilotoken: float = 0.005
+    step_ms_per_run: float = 0.041
+    step_ms_per_kilotoken: float = 0.005
     prefill_tokens_per_ms: float = 110.0
-    piece_tokens: int = 4096
-    stride: int = 4
+    prefill_chunk_tokens: int = 4096
+    tokens_per_event: int = 4
     load_ms: float = 420.0
     fetch_tokens_per_ms: float = 230.0
 
 
 @dataclass(eq=False)
 class Run:
-    """Hold one request at an engine; what has happened to it so far."""
+    """Hold one request at an engine and its progress."""
 
-    wall: str
+    cache_salt: str
     parts: tuple[PromptPart, ...]
     answer_tokens: int
     urgency: int
-    order: int
+    sequence: int
     weights: int
-    shared_kept: bool
-    begun_old: bool = False
-    left_to_read: int = -1
-    made: int = 0
+    shared_parts_stored: bool
+    started_superseded: bool = False
+    prefill_left: int = -1
+    generated: int = 0
     mixed: int = 0
     first_ms: float | None = None
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that it holds in memory at the end."""
+        """Return the tokens in memory when the run ends."""
         return sum(part.tokens for part in self.parts) + self.answer_tokens
 
 
 @dataclass
 class EngineCounts:
-    """Count what an engine did; tokens, and ms of its steps."""
+    """Count an engine's tokens, preemptions and ms of its steps."""
 
-    read: int = 0
-    fetched: int = 0
+    prefilled_tokens: int = 0
+    fetched_tokens: int = 0
     preempted: int = 0
     busy_ms: float = 0.0
 
 
 @dataclass(frozen=True)
-class StepEnd:
-    """Hold what a step brought: runs with a first event, and those ended.
+class StepResult:
+    """Hold the runs with a first event in a step and the finished ones.
 
-    ``told``: all runs with an event.
+    ``with_event``: all runs with an event.
     """
 
-    begun: tuple[Run, ...] = ()
-    ended: tuple[Run, ...] = ()
-    told: tuple[Run, ...] = ()
+    started: tuple[Run, ...] = ()
+    finished: tuple[Run, ...] = ()
+    with_event: tuple[Run, ...] = ()
 
 
 @dataclass
 class Engine:
-    """Hold one engine; ``step`` does the work of one step."""
+    """Model one engine; ``step`` runs one batch step."""
 
     model: EngineModel
     weights: int = 1
@@ -90,19 +90,19 @@
         default_factory=OrderedDict
     )
 
-    def takes(self, now_ms: float) -> bool:
-        """Tell whether a request sent now is not refused."""
+    def accepts_requests(self, now_ms: float) -> bool:
+        """Return whether a request that arrives now is accepted."""
         return now_ms >= self.loading_until_ms
 
-    def add(self, run: Run) -> None:
-        """Queue a run, more urgent ones first."""
+    def enqueue(self, run: Run) -> None:
+        """Queue a run; the most urgent runs come first."""
         self.waiting.append(run)
-        self.waiting.sort(key=_place_in_line)
+        self.waiting.sort(key=_queue_position)
 
     def load(self, version: int, now_ms: float) -> tuple[Run, ...]:
-        """Begin to load weights; return the runs that are refused.
+        """Start to load weights; return the runs that are refused.
 
-        Runs under way go on; what they make from now on mixes two versions.
+        Active runs continue, and their answers mix two versions.
         """
         refused = tuple(self.waiting)
         self.waiting.clear()
@@ -112,80 +112,85 @@
         return refused
 
     def crash(self) -> tuple[Run, ...]:
-        """Lose everything; return the runs that are lost."""
+        """Clear all runs and the cache; return the lost runs."""
         lost = (*self.running, *self.waiting)
         self.running.clear()
         self.waiting.clear()
         self.cached.clear()
         return lost
 
-    def drop(self, run: Run) -> None:
-        """Stop a run that its router has broken off."""
+    def abort_run(self, run: Run) -> None:
+        """Stop a run that its router aborted."""
         if run in self.running:
             self.running.remove(run)
         if run in self.waiting:
             self.waiting.remove(run)
 
-    def step(self, now_ms: float) -> tuple[float, StepEnd]:
-        """Do one step; return how long it takes and what it brings."""
+    def step(self, now_ms: float) -> tuple[float, StepResult]:
+        """Run one step; return its duration and its result."""
         self._admit()
         if not self.running:
-            return 0.0, StepEnd()
-        read = self._read()
-        begun = []
-        ended = []
-        told = []
+            return 0.0, StepResult()
+        prefilled = self._prefill()
+        started = []
+        finished = []
+        with_event = []
         for run in list(self.running):
-            if run.left_to_read > 0:
+            if run.prefill_left > 0:
                 continue
-            if run.made == 0:
-                begun.append(run)
-            run.made += 1
-            if run.made % self.model.stride == 1 or self.model.stride == 1:
-                told.append(run)
+            if run.generated == 0:
+                started.append(run)
+            run.generated += 1
+            if (
+                run.generated % self.model.tokens_per_event == 1
+                or self.model.tokens_per_event == 1
+            ):
+                with_event.append(run)
             if run.weights != self.weights:
                 run.mixed += 1
-            if run.made >= run.answer_tokens:
-                ended.append(run)
+            if run.generated >= run.answer_tokens:
+                finished.append(run)
                 self.running.remove(run)
-        took_ms = self._step_ms(read)
+        took_ms = self._step_ms(prefilled)
         self.counts.busy_ms += took_ms
-        for run in begun:
+        for run in started:
             run.first_ms = now_ms + took_ms
-        return took_ms, StepEnd(tuple(begun), tuple(ended), tuple(told))
+        return took_ms, StepResult(
+            tuple(started), tuple(finished), tuple(with_event)
+        )
 
     def _admit(self) -> None:
         while self.waiting and len(self.running) < self.model.slots:
             run = self.waiting[0]
-            if not self._make_room(run):
+            if not self._reserve_memory(run):
                 return
             self.waiting.pop(0)
-            self._begin(run)
+            self._start_run(run)
             self.running.append(run)
 
-    def _begin(self, run: Run) -> None:
-        """Work out what must be read: what is neither held nor fetched."""
-        held = 0
+    def _start_run(self, run: Run) -> None:
+        """Compute the tokens to prefill: those neither cached nor fetched."""
+        cached_tokens = 0
         for part in run.parts[:-1]:
-            if (run.wall, part.part_id) not in self.cached:
+            if (run.cache_salt, part.part_id) not in self.cached:
                 break
-            held += part.tokens
+            cached_tokens += part.tokens
         prompt = sum(part.tokens for part in run.parts)
         shared = prompt - run.parts[-1].tokens
-        fetched = shared - held if run.shared_kept else 0
-        self.counts.fetched += fetched
-        # A transfer holds the run up like reading so many tokens.
+        fetched = shared - cached_tokens if run.shared_parts_stored else 0
+        self.counts.fetched_tokens += fetched
+        # A transfer delays the run like a prefill of this many tokens.
         speed = self.model.prefill_tokens_per_ms
-        as_read = int(fetched / self.model.fetch_tokens_per_ms * speed)
-        run.left_to_read = prompt - held - fetched + as_read
-        self.counts.read += prompt - held - fetched
+        transfer_tokens = int(fetched / self.model.fetch_tokens_per_ms * speed)
+        run.prefill_left = prompt - cached_tokens - fetched + transfer_tokens
+        self.counts.prefilled_tokens += prompt - cached_tokens - fetched
         for part in run.parts[:-1]:
-            self.cached[run.wall, part.part_id] = part.tokens
-            self.cached.move_to_end((run.wall, part.part_id))
+            self.cached[run.cache_salt, part.part_id] = part.tokens
+            self.cached.move_to_end((run.cache_salt, part.part_id))
 
-    def _make_room(self, run: Run) -> bool:
-        """Evict cached parts, then less urgent runs, for a run's memory."""
-        while self._used() + run.tokens > self.model.kv_tokens:
+    def _reserve_memory(self, run: Run) -> bool:
+        """Evict cached parts, then preempt less urgent runs, to fit a run."""
+        while self._used_tokens() + run.tokens > self.model.kv_tokens:
             if self.cached:
                 self.cached.popitem(last=False)
                 continue
@@ -193,37 +198,37 @@
             if victim is None or victim.urgency <= run.urgency:
                 return False
             self.running.remove(victim)
-            victim.left_to_read = -1
+            victim.prefill_left = -1
             self.counts.preempted += 1
-            self.add(victim)
+            self.enqueue(victim)
         return True
 
-    def _used(self) -> int:
+    def _used_tokens(self) -> int:
         used = sum(self.cached.values())
         for run in self.running:
-            used += run.parts[-1].tokens + run.made
+            used += run.parts[-1].tokens + run.generated
         return used
 
     def _least_urgent(self) -> Run | None:
         if not self.running:
             return None
-        return max(self.running, key=_place_in_line)
+        return max(self.running, key=_queue_position)
 
-    def _read(self) -> int:
-        budget = self.model.piece_tokens
+    def _prefill(self) -> int:
+        budget = self.model.prefill_chunk_tokens
         for run in self.running:
-            piece = min(run.left_to_read, budget)
-            run.left_to_read -= max(0, piece)
-            budget -= max(0, piece)
-        return self.model.piece_tokens - budget
+            chunk = min(run.prefill_left, budget)
+            run.prefill_left -= max(0, chunk)
+            budget -= max(0, chunk)
+        return self.model.prefill_chunk_tokens - budget
 
-    def _step_ms(self, read: int) -> float:
+    def _step_ms(self, prefilled: int) -> float:
         model = self.model
         took_ms = model.step_ms
-        took_ms += model.step_ms_a_run * len(self.running)
-        took_ms += model.step_ms_a_kilotoken * self._used() / 1000
-        return took_ms + read / model.prefill_tokens_per_ms
+        took_ms += model.step_ms_per_run * len(self.running)
+        took_ms += model.step_ms_per_kilotoken * self._used_tokens() / 1000
+        return took_ms + prefilled / model.prefill_tokens_per_ms
 
 
-def _place_in_line(run: Run) -> tuple[int, int]:
-    return (run.urgency, run.order)
+def _queue_position(run: Run) -> tuple[int, int]:
+    return (run.urgency, run.sequence)
--- a/packages/bench/src/lacewing_bench/experiment/_router.py
+++ b/packages/bench/src/lacewing_bench/experiment/_router.py
@@ -1,4 +1,4 @@
-"""Run the product's decisions of one router on the model's time."""
+"""Run the decisions of one product router in virtual time."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Sent:
-    """Hold a request that was sent and what must be undone at its end."""
+    """Hold a sent request and the state to release when it ends."""
 
     target: Target
     ticket: OpenRequest
@@ -58,10 +58,10 @@
 
 
 class Router:
-    """Hold one router's knowledge.
+    """Hold the cluster state of one router and decide on requests.
 
-    ``learning`` off leaves lateness out, ``estimating`` off what engines show
-    of their speed.
+    ``learn_lateness`` off ignores the lateness of first events;
+    ``learn_speed`` off ignores the measured speed of engines.
     """
 
     def __init__(
@@ -69,11 +69,11 @@
         site: Deployment,
         zone: int,
         policy: LoadPolicy,
-        learning: bool,
-        estimating: bool,
+        learn_lateness: bool,
+        learn_speed: bool,
     ) -> None:
-        self._learning = learning
-        self._estimating = estimating
+        self._learn_lateness = learn_lateness
+        self._learn_speed = learn_speed
         self._now_ms = 0.0
         self._limits = EngineLimits(
             site.engine.slots,
@@ -83,22 +83,22 @@
             (MODEL,),
         )
         service = Service(SERVICE, 0, self._limits)
-        kept = KvStore('kept', 'zone-0', 1_000_000, _LINK_BYTES_PER_S)
+        kv_store = KvStore('kept', 'zone-0', 1_000_000, _LINK_BYTES_PER_S)
         self._routes = {kind.name: _route(kind) for kind in site.kinds}
         self._service = service
-        self.knowledge = ClusterState(_BOUNDS, policy, self._clock_s)
-        self.knowledge.update_routing_config(
+        self.cluster_state = ClusterState(_BOUNDS, policy, self._clock_s)
+        self.cluster_state.update_routing_config(
             RoutingConfig(
                 1,
                 tuple(self._routes.values()),
-                {SERVICE: service, 'kept': Service('kept', 0, None, kept)},
+                {SERVICE: service, 'kept': Service('kept', 0, None, kv_store)},
                 None,
                 Limits(1_000_000, 15.0),
             )
         )
         for number in range(site.engines):
             name = engine_name(number)
-            self.knowledge.update_upstream(
+            self.cluster_state.update_upstream(
                 name,
                 Upstream(
                     name,
@@ -111,18 +111,18 @@
                 ),
             )
         self._silence = SilenceDetector(policy.mute_ms / _MS)
-        self._placer = Placer(self.knowledge, f'zone-{zone % site.zones}')
-        self.name_weights(1, True)
+        self._placer = Placer(self.cluster_state, f'zone-{zone % site.zones}')
+        self.record_release(1, True)
 
-    def place_time(self, now_ms: float) -> None:
-        """Set the time that the router's clock shows."""
+    def set_time(self, now_ms: float) -> None:
+        """Set the router's clock."""
         self._now_ms = now_ms
 
-    def name_weights(self, version: int, before: bool) -> None:
-        """Learn that a version was named."""
-        unsure_s = float('inf') if before else 0.0
-        self.knowledge.record_release(
-            ReleasedWeights(MODEL, version), unsure_s
+    def record_release(self, version: int, initial: bool) -> None:
+        """Record the release of a version, at start or now."""
+        max_age_s = float('inf') if initial else 0.0
+        self.cluster_state.record_release(
+            ReleasedWeights(MODEL, version), max_age_s
         )
 
     def place(
@@ -133,7 +133,7 @@
         left_ms: float,
         now_ms: float,
     ) -> Target | NoCapacity:
-        """Decide on a request."""
+        """Choose the target of a request."""
         self._now_ms = now_ms
         return self._placer.place(
             _request(prompt, now_ms),
@@ -154,45 +154,50 @@
         )
         return Sent(target, ticket, prompt, now_ms)
 
-    def refused(self, sent: Sent, engine: Engine, now_ms: float) -> None:
-        """Learn that an engine loads; it is left alone for a moment."""
+    def handle_refusal(
+        self, sent: Sent, engine: Engine, now_ms: float
+    ) -> None:
+        """Exclude a loading engine for a moment and update its weights."""
         sent.target.state.mark_started(sent.ticket)
         sent.target.state.close_request()
-        sent.target.state.exclude_for(now_ms / _MS, _PAUSE_S)
-        self._learn(sent.target, engine)
+        sent.target.state.exclude_for(now_ms / _MS, _REFUSAL_PAUSE_S)
+        self._update_weights(sent.target, engine)
 
     def watch(
         self,
         sent: Sent,
         kind: Kind,
-        cut: Callable[[], None],
-        may_leave: Callable[[int], bool],
+        abort: Callable[[], None],
+        can_continue: Callable[[int], bool],
     ) -> None:
-        """Watch a stream that has begun.
+        """Watch a stream that has started.
 
-        In the product those that must not begin again have copies; here
-        there are none, so they tell of their engine, and are never left.
+        In the product, streams that cannot be retried have KV cache copies.
+        The model has no copies, so such streams only show whether their
+        engine is silent and are never moved.
         """
         route = self._routes[kind.name]
         self._silence.stream_opened(
             sent.target.state,
-            cut,
+            abort,
             route.can_retry,
             route.max_event_gap_s,
             route.abandon_after_s,
-            may_leave if route.can_retry else _never,
+            can_continue if route.can_retry else _cannot_continue,
         )
 
-    def heard(self, sent: Sent, now_ms: float) -> None:
-        """Note an event of a stream."""
+    def record_event(self, sent: Sent, now_ms: float) -> None:
+        """Record an event of a stream."""
         self._silence.data_received(sent.target.state, now_ms / _MS)
 
-    def look(self, now_ms: float) -> None:
-        """Break off the streams of engines taken for lost."""
+    def check_silence(self, now_ms: float) -> None:
+        """Abort the streams of engines that are considered lost."""
         self._silence.check(now_ms / _MS)
 
-    def began(self, sent: Sent, engine: Engine, now_ms: float) -> None:
-        """Learn from a first event."""
+    def handle_first_event(
+        self, sent: Sent, engine: Engine, now_ms: float
+    ) -> None:
+        """Update the estimates from a first event."""
         now_s = now_ms / _MS
         state = sent.target.state
         state.mark_started(sent.ticket)
@@ -200,41 +205,41 @@
             len(engine.running), len(engine.waiting), engine.model.slots
         )
         state.update_load(load, now_s)
-        self._learn(sent.target, engine)
+        self._update_weights(sent.target, engine)
         self._placer.cached_parts.record_prefilled(
             sent.target, sent.prompt, now_s
         )
         counted_ms = sent.target.first_event_ms - sent.target.lateness_ms
         took_ms = now_ms - sent.sent_ms
-        if self._learning:
+        if self._learn_lateness:
             state.record_lateness(took_ms - counted_ms, now_s)
-        if self._estimating:
+        if self._learn_speed:
             record_first_event(
-                self.knowledge.estimates(SERVICE),
+                self.cluster_state.estimates(SERVICE),
                 sent.target,
                 sent.prompt,
                 took_ms,
                 now_s,
             )
 
-    def ended(self, sent: Sent, cut: Callable[[], None]) -> None:
+    def finish(self, sent: Sent, abort: Callable[[], None]) -> None:
         """Count a request as ended."""
-        self._silence.stream_closed(sent.target.state, cut)
+        self._silence.stream_closed(sent.target.state, abort)
         sent.target.state.close_request()
 
-    def _learn(self, target: Target, engine: Engine) -> None:
-        self.knowledge.update_weights(target.state, MODEL, engine.weights)
+    def _update_weights(self, target: Target, engine: Engine) -> None:
+        self.cluster_state.update_weights(target.state, MODEL, engine.weights)
 
     def _clock_s(self) -> float:
         return self._now_ms / _MS
 
 
-def _never(_others: int) -> bool:
+def _cannot_continue(_others: int) -> bool:
     return False
 
 
-# As in the product, after a refusal.
-_PAUSE_S = 0.15
+# Exclusion after a refusal, as in the product.
+_REFUSAL_PAUSE_S = 0.15
 
 
 def engine_name(number: int) -> str:
@@ -249,14 +254,14 @@
         f'/{kind.name}/',
         False,
         True,
-        kind.rank > 0,
+        kind.priority > 0,
         15.0,
         kind.target_ms / _MS,
-        kind.rank,
+        kind.priority,
         2,
         True,
         (TrafficShare(SERVICE, 1.0),),
-        kind.pause_ms / _MS,
+        kind.max_event_gap_ms / _MS,
     )
 
 
--- a/packages/bench/src/lacewing_bench/experiment/_simulation.py
+++ b/packages/bench/src/lacewing_bench/experiment/_simulation.py
@@ -1,4 +1,4 @@
-"""Play a load on modelled engines with the product's decisions."""
+"""Simulate the product's routing decisions on modelled engines."""
 
 import heapq
 from collections.abc import Callable
@@ -26,68 +26,69 @@
 from lacewing_bench.experiment._site import Kind
 
 _MS = 1000.0
-# One way between a router and an engine.
-WAY_MS = 1.0
-MOST_SENDS = 4
-# Answers on older weights count less from so long after a naming on.
-OLD_AFTER_MS = 1500.0
-# How often the holder of orders looks, as in the product.
-LOOK_MS = 100.0
-# Engines on which one request may run.
-MOST_RUNS = 2
+# One-way latency between a router and an engine.
+ONE_WAY_LATENCY_MS = 1.0
+MAX_SENDS = 4
+# Answers on superseded weights earn less once the release is this old.
+SUPERSEDED_AFTER_MS = 1500.0
+# How often the lease holder checks which loads to order, as in the product.
+ORDER_INTERVAL_MS = 100.0
+# Maximum number of engines on which one request may run.
+MAX_RUNS = 2
 
 
 @dataclass(frozen=True)
 class Variant:
-    """Hold what is tried: a policy, and which mechanisms are off.
+    """Describe a variant: a policy and the mechanisms that are disabled.
 
-    ``routers`` 0 means as many as the deployment has; one router sees all
-    load and shows what the routers' blindness to each other costs.
+    ``routers`` 0 uses the deployment's number of routers. A single router
+    sees all load, so the difference is the cost of routers not seeing each
+    other's load.
     """
 
     name: str
     policy: LoadPolicy = LoadPolicy()
-    learning: bool = True
-    estimating: bool = True
-    refusing: bool = True
+    learn_lateness: bool = True
+    learn_speed: bool = True
+    refuse_late: bool = True
     routers: int = 0
 
 
 @dataclass(frozen=True)
 class Pattern:
-    """Hold the load: times the usual rate, names and crashes by time."""
+    """Describe the load: its factor, weight releases and crashes."""
 
     load: float = 1.0
     seconds: float = 30.0
-    named_every_s: float = 0.0
-    crash_every_s: float = 0.0
+    release_interval_s: float = 0.0
+    crash_interval_s: float = 0.0
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return
 
 
 @dataclass(eq=False)
-class _Open:
-    """Hold a request from its arrival to its end."""
+class _OpenRequest:
+    """Track a request from its arrival to its end."""
 
     kind: Kind
     prompt: Prompt
     router: Router
-    due_ms: float
+    arrived_ms: float
     answer_tokens: int
     tried: frozenset[str] = frozenset()
     sends: int = 0
     runs: int = 0
-    made: int = 0
+    generated: int = 0
     first_ms: float | None = None
-    cut: Callable[[], None] = _nothing
+    abort: Callable[[], None] = _do_nothing
     sent: Sent | None = None
     run: Run | None = None
 
 
 class Simulation:
-    """Play one pattern with one variant; the same seed, the same load."""
+    """Simulate one pattern and variant; a seed always gives the same load."""
 
     def __init__(
         self, site: Deployment, pattern: Pattern, variant: Variant, seed: int
@@ -98,12 +99,12 @@
         self._random = Random(seed)
         self._now_ms = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
-        self._version = 1
-        self._named_ms = 0.0
+        self._sequence = 0
+        self._released_version = 1
+        self._released_ms = 0.0
         self._ordered_ms: dict[int, float] = {}
-        self._open: dict[Run, _Open] = {}
-        self._stepping: set[int] = set()
+        self._open_requests: dict[Run, _OpenRequest] = {}
+        self._active_engines: set[int] = set()
         self._engines = [Engine(site.engine) for _ in range(site.engines)]
         self._routers = []
         for number in range(variant.routers or site.routers):
@@ -112,52 +113,56 @@
                     site,
                     number,
                     variant.policy,
-                    variant.learning,
-                    variant.estimating,
+                    variant.learn_lateness,
+                    variant.learn_speed,
                 )
             )
         self._outcome = Outcome(site)
 
     def run(self) -> Figures:
-        """Play to the end; return the figures."""
+        """Run to the end of the pattern; return the figures."""
         for kind in self._site.kinds:
             self._plan_arrival(kind)
-        self._look()
-        if self._pattern.named_every_s:
-            self._at(self._pattern.named_every_s * _MS, self._name)
-            self._at(LOOK_MS, self._order)
-        if self._pattern.crash_every_s:
-            self._at(self._pattern.crash_every_s * _MS, self._crash)
+        self._check_silence()
+        if self._pattern.release_interval_s:
+            self._schedule(
+                self._pattern.release_interval_s * _MS, self._release_weights
+            )
+            self._schedule(ORDER_INTERVAL_MS, self._order_loads)
+        if self._pattern.crash_interval_s:
+            self._schedule(
+                self._pattern.crash_interval_s * _MS, self._crash_engine
+            )
         end_ms = self._pattern.seconds * _MS
         while self._events:
-            at_ms, _, happen = heapq.heappop(self._events)
+            at_ms, _, action = heapq.heappop(self._events)
             if at_ms > end_ms:
                 break
             self._now_ms = at_ms
-            happen()
+            action()
         return self._outcome.figures(self._engines, self._pattern.seconds)
 
-    def _at(self, at_ms: float, happen: Callable[[], None]) -> None:
-        self._number += 1
-        heapq.heappush(self._events, (at_ms, self._number, happen))
+    def _schedule(self, at_ms: float, action: Callable[[], None]) -> None:
+        self._sequence += 1
+        heapq.heappush(self._events, (at_ms, self._sequence, action))
 
     def _plan_arrival(self, kind: Kind) -> None:
         rate = kind.rate * self._pattern.load / _MS
         at_ms = self._now_ms + self._random.expovariate(rate)
-        self._at(at_ms, lambda: self._arrive(kind))
+        self._schedule(at_ms, lambda: self._arrive(kind))
 
     def _arrive(self, kind: Kind) -> None:
         self._plan_arrival(kind)
-        prompt = self._prompt(kind)
+        prompt = self._draw_prompt(kind)
         answer = max(1, int(self._random.expovariate(1 / kind.answer_tokens)))
-        # The two draws below are made for every variant alike, so that all
-        # of them meet the same load.
+        # Drawn even if there is only one router, so that every variant gets
+        # the same load.
         share = self._random.random()
         router = self._routers[int(share * len(self._routers))]
-        self._outcome.asked(kind)
-        self._place(_Open(kind, prompt, router, self._now_ms, answer))
+        self._outcome.count_arrival(kind)
+        self._place(_OpenRequest(kind, prompt, router, self._now_ms, answer))
 
-    def _prompt(self, kind: Kind) -> Prompt:
+    def _draw_prompt(self, kind: Kind) -> Prompt:
         parts = []
         name = kind.name
         for level in kind.levels:
@@ -165,8 +170,10 @@
                 f'{name}/{level.name}-{self._random.randrange(level.choices)}'
             )
             parts.append(PromptPart(name, level.tokens))
-        own = max(16, int(self._random.expovariate(1 / kind.own_tokens)))
-        parts.append(PromptPart(f'own-{self._number}', own))
+        own_tokens = max(
+            16, int(self._random.expovariate(1 / kind.own_tokens))
+        )
+        parts.append(PromptPart(f'own-{self._sequence}', own_tokens))
         tokens = sum(part.tokens for part in parts)
         return Prompt(
             MODEL,
@@ -176,164 +183,192 @@
             tuple(parts),
         )
 
-    def _place(self, one: _Open) -> None:
-        waited_ms = self._now_ms - one.due_ms
-        left_ms = one.kind.target_ms * self._variant.policy.patience
+    def _place(self, request: _OpenRequest) -> None:
+        waited_ms = self._now_ms - request.arrived_ms
+        left_ms = request.kind.target_ms * self._variant.policy.patience
         left_ms -= waited_ms
-        if not self._variant.refusing or one.sends:
+        if not self._variant.refuse_late or request.sends:
             left_ms = float('inf')
-        target = one.router.place(
-            one.kind, one.prompt, one.tried, left_ms, self._now_ms
+        target = request.router.place(
+            request.kind, request.prompt, request.tried, left_ms, self._now_ms
         )
-        if isinstance(target, NoCapacity) or one.sends >= MOST_SENDS:
-            self._outcome.refused(one.kind)
+        if isinstance(target, NoCapacity) or request.sends >= MAX_SENDS:
+            self._outcome.count_refusal(request.kind)
             return
-        one.sends += 1
-        one.sent = one.router.send(target, one.prompt, self._now_ms)
-        self._at(self._now_ms + WAY_MS, lambda: self._reach(one))
+        request.sends += 1
+        request.sent = request.router.send(
+            target, request.prompt, self._now_ms
+        )
+        self._schedule(
+            self._now_ms + ONE_WAY_LATENCY_MS, lambda: self._deliver(request)
+        )
 
-    def _reach(self, one: _Open) -> None:
-        assert one.sent is not None
-        target = one.sent.target
+    def _deliver(self, request: _OpenRequest) -> None:
+        assert request.sent is not None
+        target = request.sent.target
         upstream_id = target.state.upstream.upstream_id
         number = int(upstream_id.rpartition('-')[2])
         engine = self._engines[number]
-        if target.weights != engine.weights or not engine.takes(self._now_ms):
-            self._refuse(one, engine, upstream_id)
+        if target.weights != engine.weights or not engine.accepts_requests(
+            self._now_ms
+        ):
+            self._handle_refusal(request, engine, upstream_id)
             return
-        self._number += 1
-        one.runs += 1
+        self._sequence += 1
+        request.runs += 1
         run = Run(
             target.cache_salt or '',
-            one.prompt.parts,
-            one.answer_tokens - one.made,
+            request.prompt.parts,
+            request.answer_tokens - request.generated,
             target.urgency,
-            self._number,
+            self._sequence,
             engine.weights,
-            self._outcome.kept(target.cache_salt or '', one.prompt),
-            self._is_old(engine),
+            self._outcome.is_stored(target.cache_salt or '', request.prompt),
+            self._is_superseded(engine),
+        )
+        request.run = run
+        self._open_requests[run] = request
+        engine.enqueue(run)
+        self._start_stepping(number)
+
+    def _is_superseded(self, engine: Engine) -> bool:
+        age_ms = self._now_ms - self._released_ms
+        return (
+            engine.weights < self._released_version
+            and age_ms > SUPERSEDED_AFTER_MS
         )
-        one.run = run
-        self._open[run] = one
-        engine.add(run)
-        self._wake(number)
-
-    def _is_old(self, engine: Engine) -> bool:
-        age_ms = self._now_ms - self._named_ms
-        return engine.weights < self._version and age_ms > OLD_AFTER_MS
-
-    def _refuse(self, one: _Open, engine: Engine, upstream_id: str) -> None:
-        assert one.sent is not None
-        one.router.refused(one.sent, engine, self._now_ms)
-        if engine.takes(self._now_ms):
-            # It has newer weights and told so; it is asked for these.
-            self._place(one)
+
+    def _handle_refusal(
+        self, request: _OpenRequest, engine: Engine, upstream_id: str
+    ) -> None:
+        assert request.sent is not None
+        request.router.handle_refusal(request.sent, engine, self._now_ms)
+        if engine.accepts_requests(self._now_ms):
+            # The refusal reported later weights; place again with these.
+            self._place(request)
             return
-        one.tried |= {upstream_id}
-        self._place(one)
+        request.tried |= {upstream_id}
+        self._place(request)
 
-    def _wake(self, number: int) -> None:
-        if number not in self._stepping:
-            self._stepping.add(number)
-            self._at(self._now_ms, lambda: self._step(number))
+    def _start_stepping(self, number: int) -> None:
+        if number not in self._active_engines:
+            self._active_engines.add(number)
+            self._schedule(self._now_ms, lambda: self._step(number))
 
     def _step(self, number: int) -> None:
         engine = self._engines[number]
-        took_ms, end = engine.step(self._now_ms)
+        took_ms, result = engine.step(self._now_ms)
         if not took_ms:
-            self._stepping.discard(number)
+            self._active_engines.discard(number)
             return
         ready_ms = self._now_ms + took_ms
-        for run in end.told:
-            self._at(ready_ms, partial(self._tell, run))
-        for run in end.begun:
-            self._at(ready_ms, partial(self._begin, run, engine))
-        for run in end.ended:
-            self._at(ready_ms, partial(self._end, run))
-        self._at(ready_ms, lambda: self._step(number))
-
-    def _begin(self, run: Run, engine: Engine) -> None:
-        one = self._open.get(run)
-        if one is None or one.sent is None:
+        for run in result.with_event:
+            self._schedule(ready_ms, partial(self._deliver_event, run))
+        for run in result.started:
+            self._schedule(
+                ready_ms, partial(self._deliver_first_event, run, engine)
+            )
+        for run in result.finished:
+            self._schedule(ready_ms, partial(self._complete, run))
+        self._schedule(ready_ms, lambda: self._step(number))
+
+    def _deliver_first_event(self, run: Run, engine: Engine) -> None:
+        request = self._open_requests.get(run)
+        if request is None or request.sent is None:
             return
-        now_ms = self._now_ms + WAY_MS
-        one.router.began(one.sent, engine, now_ms)
-        one.cut = partial(self._cut, run, engine)
-        one.router.watch(
-            one.sent, one.kind, one.cut, partial(self._may_leave, one)
+        now_ms = self._now_ms + ONE_WAY_LATENCY_MS
+        request.router.handle_first_event(request.sent, engine, now_ms)
+        request.abort = partial(self._abort_stream, run, engine)
+        request.router.watch(
+            request.sent,
+            request.kind,
+            request.abort,
+            partial(self._can_continue, request),
         )
-        if one.first_ms is not None:
+        if request.first_ms is not None:
             return
-        one.first_ms = now_ms
-        self._outcome.began(one.kind, now_ms - one.due_ms)
-        self._outcome.read(run.wall, one.prompt)
+        request.first_ms = now_ms
+        self._outcome.record_first_event(
+            request.kind, now_ms - request.arrived_ms
+        )
+        self._outcome.mark_stored(run.cache_salt, request.prompt)
 
-    def _end(self, run: Run) -> None:
-        one = self._open.pop(run, None)
-        if one is None or one.sent is None:
+    def _complete(self, run: Run) -> None:
+        request = self._open_requests.pop(run, None)
+        if request is None or request.sent is None:
             return
-        one.router.ended(one.sent, one.cut)
-        assert one.first_ms is not None
-        on_time = one.first_ms - one.due_ms <= one.kind.target_ms
-        if one.runs > 1:
-            # The pause until another engine went on was longer than allowed.
+        request.router.finish(request.sent, request.abort)
+        assert request.first_ms is not None
+        on_time = (
+            request.first_ms - request.arrived_ms <= request.kind.target_ms
+        )
+        if request.runs > 1:
+            # The gap before the continuation exceeded the allowed pause.
             on_time = False
-        self._outcome.ended(
-            one.kind, on_time, run.made, run.mixed, run.begun_old
+        self._outcome.count_answer(
+            request.kind,
+            on_time,
+            run.generated,
+            run.mixed,
+            run.started_superseded,
         )
 
-    def _tell(self, run: Run) -> None:
-        one = self._open.get(run)
-        if one is not None and one.sent is not None:
-            one.router.heard(one.sent, self._now_ms + WAY_MS)
+    def _deliver_event(self, run: Run) -> None:
+        request = self._open_requests.get(run)
+        if request is not None and request.sent is not None:
+            request.router.record_event(
+                request.sent, self._now_ms + ONE_WAY_LATENCY_MS
+            )
 
-    def _look(self) -> None:
+    def _check_silence(self) -> None:
         for router in self._routers:
-            router.look(self._now_ms)
-        self._at(self._now_ms + CHECK_INTERVAL_S * _MS, self._look)
+            router.check_silence(self._now_ms)
+        self._schedule(
+            self._now_ms + CHECK_INTERVAL_S * _MS, self._check_silence
+        )
 
-    def _may_leave(self, one: _Open, _others: int) -> bool:
-        """Tell whether a stream could be finished elsewhere."""
-        if one.runs >= MOST_RUNS or one.sends >= MOST_SENDS:
+    def _can_continue(self, request: _OpenRequest, _others: int) -> bool:
+        """Return whether another engine could continue a stream."""
+        if request.runs >= MAX_RUNS or request.sends >= MAX_SENDS:
             return False
-        assert one.sent is not None
-        here = one.sent.target.state.upstream.upstream_id
-        target = one.router.place(
-            one.kind,
-            one.prompt,
-            one.tried | {here},
+        assert request.sent is not None
+        here = request.sent.target.state.upstream.upstream_id
+        target = request.router.place(
+            request.kind,
+            request.prompt,
+            request.tried | {here},
             float('inf'),
             self._now_ms,
         )
         return not isinstance(target, NoCapacity)
 
-    def _cut(self, run: Run, engine: Engine) -> None:
-        """Break a stream off; it goes on elsewhere."""
-        one = self._open.pop(run, None)
-        if one is None or one.sent is None:
+    def _abort_stream(self, run: Run, engine: Engine) -> None:
+        """Abort a stream and place the rest of its answer elsewhere."""
+        request = self._open_requests.pop(run, None)
+        if request is None or request.sent is None:
             return
-        engine.drop(run)
-        self._outcome.cut(one.kind)
-        one.router.ended(one.sent, one.cut)
-        one.made += run.made
-        one.tried |= {one.sent.target.state.upstream.upstream_id}
-        self._place(one)
-
-    def _name(self) -> None:
-        self._version += 1
-        self._named_ms = self._now_ms
+        engine.abort_run(run)
+        self._outcome.count_abort(request.kind)
+        request.router.finish(request.sent, request.abort)
+        request.generated += run.generated
+        request.tried |= {request.sent.target.state.upstream.upstream_id}
+        self._place(request)
+
+    def _release_weights(self) -> None:
+        self._released_version += 1
+        self._released_ms = self._now_ms
         for router in self._routers:
-            router.place_time(self._now_ms)
-            router.name_weights(self._version, False)
-        at_ms = self._now_ms + self._pattern.named_every_s * _MS
-        self._at(at_ms, self._name)
+            router.set_time(self._now_ms)
+            router.record_release(self._released_version, False)
+        at_ms = self._now_ms + self._pattern.release_interval_s * _MS
+        self._schedule(at_ms, self._release_weights)
 
-    def _order(self) -> None:
-        """Order loads as the holder does; the first router gives them."""
+    def _order_loads(self) -> None:
+        """Order loads as the lease holder does, from the first router."""
         holder = self._routers[0]
-        holder.place_time(self._now_ms)
-        times = holder.knowledge.load_schedule(MODEL)
-        age_s = (self._now_ms - self._named_ms) / _MS
+        holder.set_time(self._now_ms)
+        times = holder.cluster_state.load_schedule(MODEL)
+        age_s = (self._now_ms - self._released_ms) / _MS
         views = []
         for number, engine in enumerate(self._engines):
             name = engine_name(number)
@@ -347,28 +382,30 @@
                     times.get(name, 0.0) - age_s,
                 )
             )
-        chosen = next_loads(views, self._version, self._variant.policy)
+        chosen = next_loads(
+            views, self._released_version, self._variant.policy
+        )
         for name in chosen:
             number = int(name.rpartition('-')[2])
             self._ordered_ms[number] = self._now_ms
             engine = self._engines[number]
-            for run in engine.load(self._version, self._now_ms):
-                self._again(run, engine, name)
-        self._at(self._now_ms + LOOK_MS, self._order)
+            for run in engine.load(self._released_version, self._now_ms):
+                self._resend(run, engine, name)
+        self._schedule(self._now_ms + ORDER_INTERVAL_MS, self._order_loads)
 
-    def _again(self, run: Run, engine: Engine, name: str) -> None:
-        one = self._open.pop(run, None)
-        if one is not None:
-            self._refuse(one, engine, name)
+    def _resend(self, run: Run, engine: Engine, name: str) -> None:
+        request = self._open_requests.pop(run, None)
+        if request is not None:
+            self._handle_refusal(request, engine, name)
 
-    def _crash(self) -> None:
+    def _crash_engine(self) -> None:
         number = self._random.randrange(len(self._engines))
         for run in self._engines[number].crash():
-            one = self._open.pop(run, None)
-            if one is None or one.sent is None:
+            request = self._open_requests.pop(run, None)
+            if request is None or request.sent is None:
                 continue
-            one.sent.target.state.mark_started(one.sent.ticket)
-            one.sent.target.state.close_request()
-            self._outcome.lost(one.kind)
-        at_ms = self._now_ms + self._pattern.crash_every_s * _MS
-        self._at(at_ms, self._crash)
+            request.sent.target.state.mark_started(request.sent.ticket)
+            request.sent.target.state.close_request()
+            self._outcome.count_lost(request.kind)
+        at_ms = self._now_ms + self._pattern.crash_interval_s * _MS
+        self._schedule(at_ms, self._crash_engine)
--- a/packages/bench/src/lacewing_bench/experiment/_site.py
+++ b/packages/bench/src/lacewing_bench/experiment/_site.py
@@ -1,4 +1,4 @@
-"""Describe the deployments that are tried, with rounded figures."""
+"""Define the simulated deployments, with rounded figures."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Level:
-    """Describe one level of shared parts: how many there are, how long."""
+    """Describe one level of shared parts: their number and length."""
 
     name: str
     choices: int
@@ -18,9 +18,9 @@
 class Kind:
     """Describe one kind of prompt.
 
-    ``rate``: requests a second; ``target_ms``: its first event is on time
-    within; ``worth`` on time and ``late_worth`` else. ``pause_ms``: the pause
-    between events that it allows.
+    ``rate``: requests per second; ``target_ms``: latency target of the first
+    event; ``worth``: of an answer on time; ``late_worth``: of a late one;
+    ``max_event_gap_ms``: allowed pause between events.
     """
 
     name: str
@@ -29,15 +29,15 @@
     own_tokens: int
     answer_tokens: int
     target_ms: float
-    rank: int
+    priority: int
     worth: float
     late_worth: float
-    pause_ms: float = 250.0
+    max_event_gap_ms: float = 250.0
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """Describe routers, engines and prompts of one deployment."""
+    """Describe the routers, engines and prompts of one deployment."""
 
     name: str
     routers: int
