--- a/packages/bench/src/lacewing_bench/bundle_cost.py
+++ b/packages/bench/src/lacewing_bench/bundle_cost.py
@@ -1,6 +1,6 @@
-"""Measure the size of bundles, of an edit, and what a process pays for it.
+"""Measure the size of bundles and edits, and the time to process them.
 
-python -m lacewing_bench.bundle_cost --teams 8,2500
+Run ``python -m lacewing_bench.bundle_cost --teams 8,2500``.
 """
 
 import time
@@ -32,9 +32,9 @@
 from tabulate import tabulate
 
 _MODELS = 6
-_SERVICES_OF_TEAM = 3
+_SERVICES_PER_TEAM = 3
 _RUNS = 15
-_AT = '2026-01-01T00:00:00+00:00'
+_TIMESTAMP = '2026-01-01T00:00:00+00:00'
 _HEADERS = (
     'teams',
     'bundle B',
@@ -52,7 +52,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Hold the costs at one size; ``edit_bytes`` include the head."""
+    """Hold the costs at one size; ``edit_bytes`` includes the head."""
 
     teams: int
     bundle_bytes: int
@@ -69,7 +69,7 @@
 
 
 def make_bundle(teams: int, operator: Operator) -> Bundle:
-    """Make a bundle of a size, with a service for each model."""
+    """Return a bundle with ``teams`` teams and one service per model."""
     services: list[Service] = []
     models: list[Model] = []
     for number in range(_MODELS):
@@ -82,14 +82,16 @@
                 models=(model.name,),
             )
         )
-    names = tuple(service.name for service in services[:_SERVICES_OF_TEAM])
-    made: list[Team] = []
+    names = tuple(service.name for service in services[:_SERVICES_PER_TEAM])
+    team_entries: list[Team] = []
     for number in range(teams):
         name = f'team-{number:05}'
         key_hash = sha256(name.encode()).hexdigest()
-        made.append(Team(name=name, key_hashes=(key_hash,), services=names))
+        team_entries.append(
+            Team(name=name, key_hashes=(key_hash,), services=names)
+        )
     return Bundle(
-        teams=tuple(made),
+        teams=tuple(team_entries),
         services=tuple(services),
         models=tuple(models),
         prefix_secret='ab' * 32,
@@ -98,19 +100,19 @@
 
 
 def measure(teams: int) -> Cost:
-    """Roll edits of one team each, and check them as a process does."""
+    """Roll edits of one team each, and validate them as a process does."""
     key = new_key('ana')
     bundle = make_bundle(teams, key.public)
     first = _document(None, bundle, key)
-    guard = BundleValidator((key.public,))
-    _accept(guard, first)
+    validator = BundleValidator((key.public,))
+    _accept(validator, first)
     rolls: list[float] = []
     last = first
     for number in range(_RUNS):
         bundle = _edit(bundle, number)
         before = last
         last = _document(before, bundle, key)
-        rolls.append(_time_ms(_accept, guard, last))
+        rolls.append(_time_ms(_accept, validator, last))
     cold: list[float] = []
     for _ in range(_RUNS):
         cold.append(_time_ms(_accept, BundleValidator((key.public,)), last))
@@ -118,17 +120,17 @@
     texts = [_time_ms(read_bundle_text, text) for _ in range(_RUNS)]
     changed = set(last.parts) - set(before.parts)
     head_bytes = len(encode_head(last.head))
-    whole = sum(len(part) for part in last.parts)
-    moved = head_bytes + sum(len(part) for part in changed)
+    total_bytes = sum(len(part) for part in last.parts)
+    bytes_moved = head_bytes + sum(len(part) for part in changed)
     return Cost(
         teams=teams,
-        bundle_bytes=whole,
+        bundle_bytes=total_bytes,
         largest_part_bytes=max(len(part) for part in last.parts),
         parts=len(last.parts),
         head_bytes=head_bytes,
         edit_parts=len(changed),
-        edit_bytes=moved,
-        share_moved=moved / (whole + head_bytes),
+        edit_bytes=bytes_moved,
+        share_moved=bytes_moved / (total_bytes + head_bytes),
         text_ms=median(texts),
         cold_ms=median(cold),
         roll_ms=median(rolls),
@@ -136,13 +138,16 @@
     )
 
 
-def _accept(guard: BundleValidator, document: Document) -> None:
-    """Check, remember and read a document, as at each roll."""
-    refusal = guard(document)
+def _accept(validator: BundleValidator, document: Document) -> None:
+    """Validate a document, record its trust and assemble it.
+
+    A process does the same at each roll.
+    """
+    refusal = validator(document)
     if refusal is not None:
         raise ValueError(refusal.message)
-    guard.record_trust(document)
-    guard.assemble(document)
+    validator.record_trust(document)
+    validator.assemble(document)
 
 
 def _edit(bundle: Bundle, number: int) -> Bundle:
@@ -158,15 +163,15 @@
 ) -> Document:
     parts = split(bundle)
     digest = contents_of_parts(parts).digest
-    signed = sign_off(digest, SignOffRole.AUTHOR, _AT, key)
-    order = RollOrder(parts, (signed,), _AT, digest)
+    signed = sign_off(digest, SignOffRole.AUTHOR, _TIMESTAMP, key)
+    order = RollOrder(parts, (signed,), _TIMESTAMP, digest)
     before: Predecessor | None = None
     if previous is not None:
         before = Predecessor(previous.head, previous.parts[0])
-    made = make_successor(before, order, key)
-    if not isinstance(made, Document):
-        raise ValueError(made.message)
-    return made
+    document = make_successor(before, order, key)
+    if not isinstance(document, Document):
+        raise ValueError(document.message)
+    return document
 
 
 def _time_ms(work: Callable[..., object], *arguments: object) -> float:
@@ -176,11 +181,11 @@
 
 
 def main(teams: object = (8, 100, 2500), json: bool = False) -> None:
-    """Print sizes in bytes and medians in milliseconds.
+    """Print sizes in bytes and median times in milliseconds.
 
     Args:
         teams: numbers of teams, separated by commas.
-        json: print JSON in place of a table.
+        json: print JSON instead of a table.
     """
     sizes = teams if isinstance(teams, tuple | list) else (teams,)
     costs = [measure(int(size)) for size in sizes]
--- a/packages/bench/src/lacewing_bench/claims_cost/__init__.py
+++ b/packages/bench/src/lacewing_bench/claims_cost/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what claims cost: latency, platform writes, bytes, memory."""
+"""Measure the cost of claims: latency, platform writes, bytes, memory."""
--- a/packages/bench/src/lacewing_bench/claims_cost/__main__.py
+++ b/packages/bench/src/lacewing_bench/claims_cost/__main__.py
@@ -14,17 +14,17 @@
 
 from lacewing_bench.claims_cost._measure import Cost
 from lacewing_bench.claims_cost._measure import CostError
+from lacewing_bench.claims_cost._measure import max_writes_per_s
 from lacewing_bench.claims_cost._measure import measure
-from lacewing_bench.claims_cost._measure import most_writes_per_s
 from lacewing_bench.claims_cost._measure import Setup
+from lacewing_bench.claims_cost._slopes import measure_slopes
 from lacewing_bench.claims_cost._slopes import Slopes
-from lacewing_bench.claims_cost._slopes import slopes
 
 RATES = (10.0, 50.0, 200.0)
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Hold all figures of one run."""
+    """Hold all results of one run."""
 
     costs: list[Cost]
     slopes: Slopes
@@ -34,12 +34,12 @@
 def main(
     seconds: float = 8.0, seed: int = 1, output: str = 'build/claims-cost'
 ) -> None:
-    """Measure latency and platform calls, then bytes, memory and CPU.
+    """Measure latency and platform calls, then bytes, memory and CPU time.
 
     Args:
-        seconds: time at each rate, once without and once with claims.
-        seed: of the arrivals.
-        output: directory of claims-cost.json.
+        seconds: duration at each rate, once without and once with claims.
+        seed: seed of the random arrivals.
+        output: directory to write claims-cost.json to.
     """
     try:
         costs = asyncio.run(measure(Setup(RATES, seconds, seed)))
@@ -48,11 +48,11 @@
         sys.exit(Exit.FAILED)
     report = Report(
         costs,
-        slopes(RANGE_COUNT),
-        most_writes_per_s(ClaimLimits().pace_s),
+        measure_slopes(RANGE_COUNT),
+        max_writes_per_s(ClaimLimits().pace_s),
     )
-    _print(report.costs)
-    _print([report.slopes])
+    _print_columns(report.costs)
+    _print_columns([report.slopes])
     print(f'a service writes at most {report.most_writes_per_s:.0f} times/s')
     directory = Path(output)
     directory.mkdir(parents=True, exist_ok=True)
@@ -60,7 +60,7 @@
     (directory / 'claims-cost.json').write_bytes(encoded)
 
 
-def _print(rows: Sequence[msgspec.Struct]) -> None:
+def _print_columns(rows: Sequence[msgspec.Struct]) -> None:
     table: list[list[object]] = []
     for name in rows[0].__struct_fields__:
         table.append([name, *[getattr(row, name) for row in rows]])
--- a/packages/bench/src/lacewing_bench/claims_cost/_measure.py
+++ b/packages/bench/src/lacewing_bench/claims_cost/_measure.py
@@ -1,4 +1,4 @@
-"""Drive calls with and without a claim through a fleet of processes."""
+"""Send calls with and without a claim through a fleet of processes."""
 
 import asyncio
 import time
@@ -16,21 +16,21 @@
 from lacewing_bench.fleet import LAHORE
 from lacewing_bench.platform._counts import CountsReport
 
-_MOST_US = 60_000_000
-_DIGITS = 3
-_US = 1_000_000
-_MS = 1000
+_MAX_LATENCY_US = 60_000_000
+_SIGNIFICANT_DIGITS = 3
+_US_PER_S = 1_000_000
+_US_PER_MS = 1000
 _OK = 200
 _SETTLE_S = 2.0
 
 
 class CostError(Exception):
-    """Report calls that were not answered."""
+    """Report a call that did not succeed."""
 
 
 @dataclass(frozen=True)
 class Setup:
-    """Choose the load: calls a second, seconds for each, a seed."""
+    """Configure the load: calls per second, seconds per rate, and a seed."""
 
     rates: tuple[float, ...]
     seconds: float
@@ -38,7 +38,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Report one rate: latencies in ms, platform calls for one call."""
+    """Report one rate: latencies in ms and platform calls per call."""
 
     rate_per_s: float
     claimed: bool
@@ -67,7 +67,7 @@
 
 
 class _Load:
-    """Call the registry at a rate, whatever the answers take."""
+    """Call the registry at a rate that does not depend on its latency."""
 
     def __init__(self, fleet: Fleet, random: Random) -> None:
         self._fleet = fleet
@@ -83,10 +83,10 @@
         self._client.close()
 
     async def run(self, rate: float, seconds: float, claimed: bool) -> Cost:
-        """Call for some seconds and report."""
+        """Send calls for some seconds and report their cost."""
         await asyncio.sleep(_SETTLE_S)
         await self._reset_counts()
-        latencies = HdrHistogram(1, _MOST_US, _DIGITS)
+        latencies = HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
         calls = []
         started_s = time.monotonic()
         due_s = started_s
@@ -97,7 +97,7 @@
             )
             due_s += self._random.expovariate(rate)
         await asyncio.gather(*calls)
-        # The last outcomes are written a while after their answers.
+        # The last outcomes are written some time after their answers.
         await asyncio.sleep(_SETTLE_S)
         counts = await self._counts()
         writes = counts.calls.get('put', {}).get(KIND, 0)
@@ -106,9 +106,9 @@
             rate,
             claimed,
             len(calls),
-            latencies.get_value_at_percentile(50) / _MS,
-            latencies.get_value_at_percentile(95) / _MS,
-            latencies.get_value_at_percentile(99) / _MS,
+            latencies.get_value_at_percentile(50) / _US_PER_MS,
+            latencies.get_value_at_percentile(95) / _US_PER_MS,
+            latencies.get_value_at_percentile(99) / _US_PER_MS,
             writes / seconds,
             writes / len(calls),
             reads / len(calls),
@@ -135,7 +135,7 @@
         )
         if response.code != _OK:
             raise CostError(f'{response.code}: {response.body!r}')
-        latencies.record_value(round((time.monotonic() - due_s) * _US))
+        latencies.record_value(round((time.monotonic() - due_s) * _US_PER_S))
 
     async def _reset_counts(self) -> None:
         url = f'{self._fleet.platform_url}/counts/reset'
@@ -148,6 +148,6 @@
         return msgspec.json.decode(response.body, type=CountsReport)
 
 
-def most_writes_per_s(pace_s: float) -> float:
-    """Return the bound of one service's writes, all its ranges busy."""
+def max_writes_per_s(pace_s: float) -> float:
+    """Return the maximum write rate of a service with all ranges busy."""
     return RANGE_COUNT / pace_s
--- a/packages/bench/src/lacewing_bench/claims_cost/_slopes.py
+++ b/packages/bench/src/lacewing_bench/claims_cost/_slopes.py
@@ -1,4 +1,4 @@
-"""Measure how a range's object, its memory and its CPU grow with claims."""
+"""Measure how a range's object size, memory and CPU time grow with claims."""
 
 import secrets
 import time
@@ -21,20 +21,20 @@
 _DIGEST_BYTES = 16
 _OWNER = 2**62
 _NOW = 1_800_000_000
-_FEW = 1000
-_MANY = 5000
+_SMALL_COUNT = 1000
+_LARGE_COUNT = 5000
 _ROUNDS = 20
-_US = 1_000_000
-_NONE = Folded()
+_US_PER_S = 1_000_000
+_NO_FOLDED = Folded()
 
 
 class Slopes(msgspec.Struct, frozen=True):
-    """Report growth for each claim that ran.
+    """Report the growth per claim that ran.
 
-    ``record``: in its first hour; ``folded``: later. ``draft_us``: CPU to
-    draft and encode a version, for each record in it. ``full_at_per_s``:
-    the steady calls a second at which one service's ranges are full by the
-    end of the retention, answers not counted.
+    ``record``: in its first hour; ``folded``: later. ``draft_us``: CPU time
+    to draft and encode a version, per record in it. ``full_at_per_s``: the
+    steady rate of calls at which the ranges of one service are full by the
+    end of the retention, without counting the stored answers.
     """
 
     record_bytes: float
@@ -48,31 +48,33 @@
     full_at_per_s: float
 
 
-def slopes(ranges: int) -> Slopes:
-    """Measure by the difference of few and many claims."""
+def measure_slopes(ranges: int) -> Slopes:
+    """Measure the difference between a small and a large set of claims."""
     limits = ClaimLimits()
-    few, many = _claims(_FEW), _claims(_MANY)
-    record = _slope(_size(few, _NONE), _size(many, _NONE))
-    some, more = _folded(few), _folded(many)
-    folded = _slope(_size({}, some), _size({}, more))
+    few, many = _claims(_SMALL_COUNT), _claims(_LARGE_COUNT)
+    record = _slope(_size(few, _NO_FOLDED), _size(many, _NO_FOLDED))
+    small_folded, large_folded = _folded(few), _folded(many)
+    folded = _slope(_size({}, small_folded), _size({}, large_folded))
     old_s = limits.retention_s - limits.fold_after_s
-    of_one_per_s = limits.fold_after_s * record + old_s * folded
+    bytes_at_one_per_s = limits.fold_after_s * record + old_s * folded
     return Slopes(
         record,
         folded,
-        _memory_bytes(lambda: _claims(_FEW)),
+        _memory_bytes(lambda: _claims(_SMALL_COUNT)),
         _memory_bytes(lambda: _folded(few)),
-        _slope(_draft_s(few, _NONE), _draft_s(many, _NONE)) * _US,
-        _slope(_draft_s({}, some), _draft_s({}, more)) * _US,
+        _slope(_draft_s(few, _NO_FOLDED), _draft_s(many, _NO_FOLDED))
+        * _US_PER_S,
+        _slope(_draft_s({}, small_folded), _draft_s({}, large_folded))
+        * _US_PER_S,
         _slope(_cpu_s(lambda: _folded(few)), _cpu_s(lambda: _folded(many)))
-        * _US,
-        _slope(_read_s(few), _read_s(many)) * _US,
-        limits.object_bytes / of_one_per_s * ranges,
+        * _US_PER_S,
+        _slope(_read_s(few), _read_s(many)) * _US_PER_S,
+        limits.object_bytes / bytes_at_one_per_s * ranges,
     )
 
 
-def _slope(at_few: float, at_many: float) -> float:
-    return (at_many - at_few) / (_MANY - _FEW)
+def _slope(at_small: float, at_large: float) -> float:
+    return (at_large - at_small) / (_LARGE_COUNT - _SMALL_COUNT)
 
 
 def _size(claims: dict[bytes, Claim], folded: Folded) -> int:
@@ -109,10 +111,10 @@
 
 def _memory_bytes(make: Callable[[], Sized]) -> float:
     tracemalloc.start()
-    kept = make()
+    traced = make()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return used / len(kept)
+    return used / len(traced)
 
 
 def _draft_s(claims: dict[bytes, Claim], folded: Folded) -> float:
@@ -122,6 +124,6 @@
 
 
 def _read_s(claims: dict[bytes, Claim]) -> float:
-    value = encode_claims(claims, _NONE, 0)
+    value = encode_claims(claims, _NO_FOLDED, 0)
     stored = StoredObject('claims', 'x', 1, value)
     return _cpu_s(lambda: read_book(stored))
--- a/packages/bench/src/lacewing_bench/decision_cost/__init__.py
+++ b/packages/bench/src/lacewing_bench/decision_cost/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what a routing decision costs against fleets of many workers."""
+"""Measure the cost of a routing decision in fleets of many workers."""
--- a/packages/bench/src/lacewing_bench/decision_cost/__main__.py
+++ b/packages/bench/src/lacewing_bench/decision_cost/__main__.py
@@ -1,4 +1,7 @@
-"""Print what knowledge costs: ``python -m lacewing_bench.decision_cost``."""
+"""Print the cost of routing decisions and of following an engine's cache.
+
+Run ``python -m lacewing_bench.decision_cost``.
+"""
 
 import json
 from dataclasses import asdict
@@ -22,14 +25,14 @@
     events_s: float = 281.0,
     output: str = 'build/decision-cost',
 ) -> None:
-    """Time the decisions of each policy, as ratios to random in one run.
+    """Time the decisions of each policy, relative to random in the same run.
 
     Args:
-        workers: eligible workers.
-        decisions: decisions timed for each policy.
-        blocks: cached blocks that an agent follows.
-        events_s: cache events a second of its engine.
-        output: directory of decision-cost.json.
+        workers: number of eligible workers.
+        decisions: number of decisions timed for each policy.
+        blocks: number of cached blocks that an agent follows.
+        events_s: cache events per second of its engine.
+        output: directory to write decision-cost.json to.
     """
     costs: list[DecisionCost] = []
     for policy in POLICIES:
@@ -53,10 +56,10 @@
     )
     directory = Path(output)
     directory.mkdir(parents=True, exist_ok=True)
-    rows_found = [asdict(cost) for cost in costs]
-    rows_found.append(asdict(following))
-    found = json.dumps(rows_found, indent=2)
-    (directory / 'decision-cost.json').write_text(found)
+    cost_rows = [asdict(cost) for cost in costs]
+    cost_rows.append(asdict(following))
+    encoded = json.dumps(cost_rows, indent=2)
+    (directory / 'decision-cost.json').write_text(encoded)
 
 
 if __name__ == '__main__':
--- a/packages/bench/src/lacewing_bench/decision_cost/_following.py
+++ b/packages/bench/src/lacewing_bench/decision_cost/_following.py
@@ -1,4 +1,4 @@
-"""Time what following an engine's cache costs an agent."""
+"""Measure the cost to an agent of following an engine's cache."""
 
 import os
 import time
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True)
 class FollowingCost:
-    """Hold the cost of a view of ``blocks`` at ``events_s`` events a second.
+    """Hold the cost of a view of ``blocks`` at ``events_s`` events per second.
 
-    ``event_us``: CPU an event of one block; ``core_percent``: the share of
-    a core that the events take; ``event_bytes``: on the stream from the
-    engine; ``snapshot_ms``, ``snapshot_kb``: one resynchronisation;
-    ``view_kb``: memory of the view.
+    ``event_us``: CPU time per event of one block; ``core_percent``: share of
+    a core that the events use; ``event_bytes``: size of an event on the
+    stream from the engine; ``snapshot_ms``, ``snapshot_kb``: cost of one
+    resynchronisation; ``view_kb``: memory of the view.
     """
 
     blocks: int
@@ -38,26 +38,26 @@
 
 
 def measure_following(blocks: int, events_s: float) -> FollowingCost:
-    """Fill a view and turn all of its blocks over once."""
-    names = tuple(os.urandom(8).hex() for _ in range(blocks))
-    fresh = tuple(os.urandom(8).hex() for _ in range(blocks))
-    snapshot = msgspec.json.encode(CacheSnapshot('e1', 0, names))
-    began_s = time.process_time()
+    """Fill a view, then replace each of its blocks once."""
+    initial_blocks = tuple(os.urandom(8).hex() for _ in range(blocks))
+    new_blocks = tuple(os.urandom(8).hex() for _ in range(blocks))
+    snapshot = msgspec.json.encode(CacheSnapshot('e1', 0, initial_blocks))
+    started_s = time.process_time()
     view = _view_of(snapshot)
-    snapshot_s = time.process_time() - began_s
+    snapshot_s = time.process_time() - started_s
     tracemalloc.start()
-    kept = _view_of(snapshot)
+    traced_view = _view_of(snapshot)
     view_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert len(kept) == blocks
-    stream = _events(names, fresh)
+    assert len(traced_view) == blocks
+    stream = _events(initial_blocks, new_blocks)
     sink = EventSink(view.take)
     sink.head(AnswerStart(200, 'text/event-stream', '', ''))
-    began_s = time.process_time()
+    started_s = time.process_time()
     for text in stream:
         sink.body(text)
-    took_s = time.process_time() - began_s
-    event_us = took_s / len(stream) * _US_PER_S
+    cpu_s = time.process_time() - started_s
+    event_us = cpu_s / len(stream) * _US_PER_S
     return FollowingCost(
         blocks=blocks,
         events_s=events_s,
@@ -76,9 +76,11 @@
     return view
 
 
-def _events(gone: tuple[str, ...], come: tuple[str, ...]) -> list[bytes]:
+def _events(
+    evicted_blocks: tuple[str, ...], stored_blocks: tuple[str, ...]
+) -> list[bytes]:
     stream: list[bytes] = []
-    for evicted, stored in zip(gone, come, strict=True):
+    for evicted, stored in zip(evicted_blocks, stored_blocks, strict=True):
         for kind, name in (
             (EventKind.EVICTED, evicted),
             (EventKind.STORED, stored),
--- a/packages/bench/src/lacewing_bench/decision_cost/_measure.py
+++ b/packages/bench/src/lacewing_bench/decision_cost/_measure.py
@@ -28,19 +28,19 @@
     PolicyName.PREFIX_HASH,
     PolicyName.EXPECTED_COST,
 )
-# Prompts come again as in the bench's workload: few outermost levels, more
-# inner ones, a last level of each request's own.
+# Prompts share prefixes as in the workload of the bench: few distinct
+# outermost levels, more inner ones, and a last level unique to each request.
 _BOOKS = 50
 _CHAPTERS = 8
 _CASES = 4
 _LEVEL_BYTES = (6000, 2400, 800, 200)
-_WARM_DECISIONS = 500
+_WARM_UP_DECISIONS = 500
 _US_PER_S = 1_000_000
 
 
 @dataclass(frozen=True)
 class DecisionCost:
-    """Hold one policy's CPU time for a decision, in microseconds."""
+    """Hold the CPU time of one policy's decisions, in microseconds."""
 
     policy: str
     workers: int
@@ -50,29 +50,29 @@
 
 
 def measure(policy: PolicyName, workers: int, decisions: int) -> DecisionCost:
-    """Time decisions of one policy over so many workers."""
+    """Time decisions of one policy among ``workers`` workers."""
     rng = random.Random(7)
     views = tuple(idle_view(f'agent-{index}') for index in range(workers))
     fleet = FixedWorkers(views)
-    made = make_policy(policy, Place('r', 'z'), rng)
-    took_us: list[float] = []
-    for number in range(_WARM_DECISIONS + decisions):
+    routing_policy = make_policy(policy, Place('r', 'z'), rng)
+    durations_us: list[float] = []
+    for number in range(_WARM_UP_DECISIONS + decisions):
         request = _request(number, _prompt(rng, number))
-        began_s = time.thread_time()
-        choice = made.choose(request, fleet)
-        took_s = time.thread_time() - began_s
+        started_s = time.thread_time()
+        choice = routing_policy.choose(request, fleet)
+        cpu_s = time.thread_time() - started_s
         if isinstance(choice, Refusal):
             raise AssertionError(f'expected a choice, got {choice.message}')
-        if number >= _WARM_DECISIONS:
-            took_us.append(took_s * _US_PER_S)
-        _come_true(made, request, choice.process_id)
-    took_us.sort()
+        if number >= _WARM_UP_DECISIONS:
+            durations_us.append(cpu_s * _US_PER_S)
+        _report_outcome(routing_policy, request, choice.process_id)
+    durations_us.sort()
     return DecisionCost(
         policy.value,
         workers,
-        took_us[len(took_us) // 2],
-        took_us[len(took_us) * 99 // 100],
-        sum(took_us) / len(took_us),
+        durations_us[len(durations_us) // 2],
+        durations_us[len(durations_us) * 99 // 100],
+        sum(durations_us) / len(durations_us),
     )
 
 
@@ -103,7 +103,7 @@
     )
 
 
-def _come_true(
+def _report_outcome(
     policy: Policy, request: RoutingRequest, process_id: str
 ) -> None:
     total = len(request.chain.blocks)
--- a/packages/bench/src/lacewing_bench/decision_cost/_workers.py
+++ b/packages/bench/src/lacewing_bench/decision_cost/_workers.py
@@ -1,4 +1,4 @@
-"""Stand in for many workers whose views are given."""
+"""Provide a fixed set of worker views for policies."""
 
 from lacewing_common.identity import Place
 from lacewing_common.wire import LoadReport
@@ -18,16 +18,16 @@
         return self._ids
 
     def view(self, process_id: str) -> WorkerView:
-        """Return what is known of one of them now."""
+        """Return the current view of a worker."""
         return self._views[process_id]
 
     def replace(self, view: WorkerView) -> None:
-        """Change what is known of one of them."""
+        """Replace the view of a worker."""
         self._views[view.process_id] = view
 
 
 def idle_view(process_id: str, epoch: str = 'e1') -> WorkerView:
-    """Return the view of a worker without any request."""
+    """Return the view of a worker without requests."""
     return WorkerView(
         process_id=process_id,
         place=Place('r', 'z'),
--- a/packages/bench/src/lacewing_bench/peers_cost.py
+++ b/packages/bench/src/lacewing_bench/peers_cost.py
@@ -1,7 +1,8 @@
-"""Measure what exchanges cost a process, against the size of the fleet.
+"""Measure the cost of peer exchanges by the size of the member table.
 
-``python -m lacewing_bench.peers_cost``: two peers over loopback whose tables
-also hold members that nobody calls, so that only the tables grow.
+Run ``python -m lacewing_bench.peers_cost``. Two peers exchange over loopback.
+Their tables also contain members without an address, which are never called,
+so that only the table size varies.
 """
 
 import asyncio
@@ -27,9 +28,9 @@
 from lacewing_daemon.peers._metrics import EXCHANGES
 from tabulate import tabulate
 
-# Calls follow each other at this pace; the figures are per call, so that
-# the pace itself does not matter as long as the loop is not busy.
-_FAST = PeerSettings(exchange_s=0.02, probe_s=2.0, suspect_s=60.0)
+# The costs are per exchange, so this interval does not affect them as long
+# as the event loop is not saturated.
+_PEER_SETTINGS = PeerSettings(exchange_s=0.02, probe_s=2.0, suspect_s=60.0)
 _WARM_S = 2.0
 _MEASURE_S = 4.0
 _ZONES = 8
@@ -44,24 +45,24 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """Hold the cost of one exchange, both ends together."""
+    """Hold the cost of one exchange, summed over both peers."""
 
     cpu_ms: float
     wire_bytes: float
 
 
-class _Wire:
+class _ByteCounter:
     """Count the bytes that HTTP/2 connections receive."""
 
     received = 0
 
     @classmethod
     def install(cls) -> None:
-        plain = H2Protocol.data_received
+        data_received = H2Protocol.data_received
 
         def counting(self: Any, data: bytes) -> None:
             cls.received += len(data)
-            plain(self, data)
+            data_received(self, data)
 
         setattr(H2Protocol, 'data_received', counting)
 
@@ -72,7 +73,7 @@
             role=Role.ROUTER,
             process_id=name,
             place=Place('region-0', 'zone-0'),
-            peers=_FAST,
+            peers=_PEER_SETTINGS,
         )
         self.node = PeerNode(
             ProcessName(name, new_incarnation()),
@@ -97,11 +98,11 @@
 
 
 def fake_members(number: int) -> list[MemberRecord]:
-    """Make members whose address nobody calls."""
-    found: list[MemberRecord] = []
+    """Return members without an address, which are never called."""
+    records: list[MemberRecord] = []
     for index in range(number):
         zone = index % _ZONES
-        found.append(
+        records.append(
             MemberRecord(
                 f'agent-service-{index}',
                 new_incarnation(),
@@ -115,42 +116,42 @@
                 '',
             )
         )
-    return found
+    return records
 
 
 async def _exchange_cost(members: int) -> Cost:
     contacts: list[str] = []
     first = _Peer('first', contacts)
     second = _Peer('second', contacts)
-    known = fake_members(members - 2)
+    table_members = fake_members(members - 2)
     for peer in (first, second):
-        peer.node.table.merge_all(known)
+        peer.node.table.merge_all(table_members)
         await peer.listen()
         contacts.append(peer.address)
     await second.node.discover()
     for peer in (first, second):
         peer.node.start(peer.address)
     await asyncio.sleep(_WARM_S)
-    await _told(first, second)
-    before_calls = _calls()
-    before_bytes = _Wire.received
+    await _wait_for_updates(first, second)
+    before_calls = _answered_exchanges()
+    before_bytes = _ByteCounter.received
     before_s = time.process_time()
     await asyncio.sleep(_MEASURE_S)
     cpu_s = time.process_time() - before_s
-    calls = _calls() - before_calls
-    size = _Wire.received - before_bytes
+    calls = _answered_exchanges() - before_calls
+    size = _ByteCounter.received - before_bytes
     await first.close()
     await second.close()
     return Cost(cpu_s / calls * 1000, size / calls)
 
 
-async def _told(first: _Peer, second: _Peer) -> None:
-    """Wait until the news of the start has been told often enough."""
+async def _wait_for_updates(first: _Peer, second: _Peer) -> None:
+    """Wait until both peers have sent the updates about their start."""
     while first.node.pending_updates or second.node.pending_updates:
         await asyncio.sleep(0.1)
 
 
-def _calls() -> float:
+def _answered_exchanges() -> float:
     return float(EXCHANGES.labels('answered')._value.get())
 
 
@@ -186,9 +187,9 @@
     """Measure tables of several sizes.
 
     Args:
-        members: the sizes, with commas.
+        members: the table sizes, separated by commas.
     """
-    _Wire.install()
+    _ByteCounter.install()
     sizes = members if isinstance(members, tuple) else str(members).split(',')
     rows: list[list[str]] = []
     for size in sizes:
--- a/packages/bench/src/lacewing_bench/relay_cost/__init__.py
+++ b/packages/bench/src/lacewing_bench/relay_cost/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what router and agent add to an engine's answer."""
+"""Measure the overhead of router and agent on an engine's answer."""
--- a/packages/bench/src/lacewing_bench/relay_cost/__main__.py
+++ b/packages/bench/src/lacewing_bench/relay_cost/__main__.py
@@ -1,4 +1,4 @@
-"""Print the relay's cost: ``python -m lacewing_bench.relay_cost``."""
+"""Print the cost of the relay: ``python -m lacewing_bench.relay_cost``."""
 
 import asyncio
 import sys
@@ -23,13 +23,13 @@
     step_ms: float = 12.0,
     output: str = 'build/relay-cost',
 ) -> None:
-    """Measure CPU a token and the time added to the first token.
+    """Measure CPU time per token and the latency added to the first token.
 
     Args:
-        workers: engines behind the one router.
-        rounds: answers of 200 tokens, one after the other, a stream.
-        step_ms: time between two tokens of a stream.
-        output: directory of relay-cost.json.
+        workers: number of engines behind the single router.
+        rounds: consecutive answers of 200 tokens per stream.
+        step_ms: time between two tokens of a stream, in milliseconds.
+        output: directory to write relay-cost.json to.
     """
     costs = []
     for streams in _STREAMS:
--- a/packages/bench/src/lacewing_bench/relay_cost/_measure.py
+++ b/packages/bench/src/lacewing_bench/relay_cost/_measure.py
@@ -1,4 +1,4 @@
-"""Measure a relay against calling its engines directly, in one run."""
+"""Compare relayed calls with direct calls to the engines in one run."""
 
 import asyncio
 import statistics
@@ -19,28 +19,30 @@
 from lacewing_bench.standins import EngineCosts
 
 _ROUTER = 'router-1'
-_AGENT = 'agent-'
+_AGENT_PREFIX = 'agent-'
 _STANDIN_PROCESSES = 3
 _IDLE_S = 3.0
 _OK = 200
-_FIRST_TOKEN_PAIRS = 60
-_SHORT_ANSWER = 2
-_US = 1e6
-_CALLS_AT_ONCE = 500
-# About what 330 routers see each of 7,600 requests/s and 1.5M tokens/s.
+_FIRST_TOKEN_SAMPLES = 60
+_SHORT_ANSWER_TOKENS = 2
+_US_PER_S = 1e6
+_MAX_CONCURRENT_CALLS = 500
+# About the tokens per request of 7,600 requests/s and 1.5M tokens/s, which
+# 330 routers share.
 ANSWER_TOKENS = 200
 
 
 class RelayError(Exception):
-    """Report an answer that was not whole, so that nothing was measured."""
+    """Report an incomplete answer, which invalidates the measurement."""
 
 
 @dataclass(frozen=True)
 class RelaySetup:
-    """Say what to relay.
+    """Configure the load.
 
-    ``workers``: engines, each with ``streams`` at once, for ``rounds``
-    answers one after the other; ``step_ms``: time between two tokens.
+    ``workers``: number of engines; ``streams``: concurrent streams per
+    engine; ``rounds``: consecutive answers per stream; ``step_ms``: time
+    between two tokens.
     """
 
     workers: int
@@ -52,9 +54,10 @@
 class RelayCost(msgspec.Struct, frozen=True):
     """Hold the cost of relayed tokens.
 
-    ``*_us``: CPU microseconds a token, all of the router's or of all agents'
-    in the window; ``*_idle_us``: the part that is used without any request.
-    ``*_cores``: cores used on average in the window.
+    ``*_us``: CPU microseconds per token, from the total CPU time of the
+    router or of all agents in the window; ``*_idle_us``: the part that is
+    also used without any request; ``*_cores``: average number of cores used
+    in the window.
     """
 
     workers: int
@@ -72,7 +75,7 @@
     added_first_p95_ms: float
 
 
-class _Meter:
+class _CpuMeter:
     """Read the CPU seconds of the router and of all agents."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -81,7 +84,7 @@
         self._agents = [
             psutil.Process(pid)
             for name, pid in pids.items()
-            if name.startswith(_AGENT)
+            if name.startswith(_AGENT_PREFIX)
         ]
 
     def router_s(self) -> float:
@@ -94,7 +97,7 @@
 
 
 async def measure(setup: RelaySetup) -> RelayCost:
-    """Start a fleet with one router, relay, and end it."""
+    """Start a fleet with one router, measure the relay and stop the fleet."""
     deployment = replace(
         LAHORE.sized(1, setup.workers, 0),
         costs=EngineCosts(
@@ -105,7 +108,7 @@
         policy=PolicyName.ROUND_ROBIN, standin_processes=_STANDIN_PROCESSES
     )
     async with Fleet(deployment, options) as fleet:
-        caller = Caller(fleet.team_keys, calls_at_once=_CALLS_AT_ONCE)
+        caller = Caller(fleet.team_keys, calls_at_once=_MAX_CONCURRENT_CALLS)
         try:
             return await _measure(fleet, caller, setup)
         finally:
@@ -115,9 +118,10 @@
 async def _measure(
     fleet: Fleet, caller: Caller, setup: RelaySetup
 ) -> RelayCost:
-    # The first answers pay for what is made once, as links and parsers.
+    # Warm up: the first answers include one-time costs such as creating links
+    # and parsers.
     await _relay(fleet, caller, replace(setup, rounds=1))
-    meter = _Meter(fleet)
+    meter = _CpuMeter(fleet)
     loop = asyncio.get_running_loop()
     router_s, agents_s = meter.router_s(), meter.agents_s()
     await asyncio.sleep(_IDLE_S)
@@ -129,7 +133,7 @@
         loop.time(),
     )
     tokens = await _relay(fleet, caller, setup)
-    took_s = loop.time() - started
+    elapsed_s = loop.time() - started
     router_s = meter.router_s() - router_s
     agents_s = meter.agents_s() - agents_s
     direct, relayed = await _first_tokens(fleet, caller)
@@ -138,12 +142,12 @@
         workers=setup.workers,
         streams_per_worker=setup.streams,
         tokens=tokens,
-        tokens_per_s=tokens / took_s,
-        router_us=router_s / tokens * _US,
-        router_idle_us=router_idle * took_s / tokens * _US,
-        router_cores=router_s / took_s,
-        agents_us=agents_s / tokens * _US,
-        agents_idle_us=agents_idle * took_s / tokens * _US,
+        tokens_per_s=tokens / elapsed_s,
+        router_us=router_s / tokens * _US_PER_S,
+        router_idle_us=router_idle * elapsed_s / tokens * _US_PER_S,
+        router_cores=router_s / elapsed_s,
+        agents_us=agents_s / tokens * _US_PER_S,
+        agents_idle_us=agents_idle * elapsed_s / tokens * _US_PER_S,
         direct_first_ms=statistics.median(direct),
         relayed_first_ms=statistics.median(relayed),
         added_first_p50_ms=statistics.median(added),
@@ -152,7 +156,7 @@
 
 
 async def _relay(fleet: Fleet, caller: Caller, setup: RelaySetup) -> int:
-    """Read streams through the router; return the tokens that came."""
+    """Read streams through the router; return the number of tokens."""
     readers = setup.workers * setup.streams
     counts = await asyncio.gather(
         *[
@@ -168,7 +172,7 @@
     for number in range(rounds):
         call = _call(fleet, f'{reader}, {number}', ANSWER_TOKENS)
         answer = await caller.send(fleet.caller_url(_ROUTER), call)
-        _check(answer)
+        _require_complete(answer)
         tokens += ANSWER_TOKENS
     return tokens
 
@@ -176,7 +180,7 @@
 async def _first_tokens(
     fleet: Fleet, caller: Caller
 ) -> tuple[list[float], list[float]]:
-    """Time first tokens, in turn straight from an engine and relayed."""
+    """Time first tokens, alternating between direct and relayed calls."""
     direct: list[float] = []
     relayed: list[float] = []
     engines = [
@@ -184,15 +188,15 @@
         for name, url in fleet.worker_urls.items()
         if name.startswith(fleet.deployment.model_service)
     ]
-    for number in range(_FIRST_TOKEN_PAIRS):
-        call = _call(fleet, f'first {number}', _SHORT_ANSWER)
+    for number in range(_FIRST_TOKEN_SAMPLES):
+        call = _call(fleet, f'first {number}', _SHORT_ANSWER_TOKENS)
         engine = engines[number % len(engines)]
-        straight = await caller.send(engine, call)
-        through = await caller.send(fleet.caller_url(_ROUTER), call)
-        _check(straight)
-        _check(through)
-        direct.append(straight.first_ms)
-        relayed.append(through.first_ms)
+        direct_answer = await caller.send(engine, call)
+        relayed_answer = await caller.send(fleet.caller_url(_ROUTER), call)
+        _require_complete(direct_answer)
+        _require_complete(relayed_answer)
+        direct.append(direct_answer.first_ms)
+        relayed.append(relayed_answer.first_ms)
     return direct, relayed
 
 
@@ -207,10 +211,10 @@
     return Call('', deployment.teams[0].name, CHAT_PATH, body)
 
 
-def _check(answer: Answer) -> None:
+def _require_complete(answer: Answer) -> None:
     if answer.status != _OK or not answer.whole:
         raise RelayError(
-            f'expected a whole answer, got status {answer.status}:'
+            f'expected a complete answer, got status {answer.status}:'
             f' {answer.text}'
         )
 
--- a/packages/bench/src/lacewing_bench/standins_cost.py
+++ b/packages/bench/src/lacewing_bench/standins_cost.py
@@ -1,6 +1,6 @@
-"""Measure what the engine stand-ins cost, under full streams.
+"""Measure the cost of the engine stand-ins while all streams run.
 
-python -m lacewing_bench.standins_cost --engines 9 --streams 20
+Run ``python -m lacewing_bench.standins_cost --engines 9 --streams 20``.
 """
 
 import asyncio
@@ -23,16 +23,17 @@
 from lacewing_bench.standins import StandinsConfig
 
 _WARM_UP_S = 2.0
-_TOKENS = 200
+_TOKENS_PER_ANSWER = 200
 _PROMPT = 'A line of the handbook that all requests share. ' * 40
 _TIMEOUT_S = 600.0
-_MEGABYTE = 1e6
+_BYTES_PER_MEGABYTE = 1e6
 
 
 class CostReport(msgspec.Struct, frozen=True):
-    """Hold the cost of all processes together.
+    """Hold the total cost of all processes.
 
-    ``paced_share``: tokens sent, of those that the engines' prices allow.
+    ``paced_share``: ratio of the tokens received to those that the
+    configured engine costs allow.
     """
 
     processes: int
@@ -49,18 +50,18 @@
 
 @dataclass
 class _Tally:
-    """Count the tokens that came."""
+    """Count the tokens received."""
 
     tokens: int = 0
 
-    def take(self, data: bytes) -> None:
-        """Count the events of a piece of a stream."""
+    def count_events(self, data: bytes) -> None:
+        """Count the events in a chunk of a stream."""
         self.tokens += data.count(b'id: ')
 
 
 @dataclass(frozen=True)
-class _Spent:
-    """Hold processor seconds and memory of some processes."""
+class _Usage:
+    """Hold the CPU seconds and the memory of some processes."""
 
     seconds: float
     megabytes: float
@@ -69,17 +70,17 @@
 def main(
     engines: int = 9, streams: int = 20, seconds: int = 10, processes: int = 1
 ) -> None:
-    """Print the cost of engines with running streams each, as JSON."""
+    """Print the cost of engines with concurrent streams, as JSON."""
     with tempfile.TemporaryDirectory() as directory:
-        started: list[subprocess.Popen[str]] = []
+        servers: list[subprocess.Popen[str]] = []
         try:
             for number in range(processes):
                 path = Path(directory) / f'{number}.json'
-                share = range(number, engines, processes)
-                started.append(_start(path, share))
-            report = asyncio.run(_measure(started, engines, streams, seconds))
+                engine_numbers = range(number, engines, processes)
+                servers.append(_start(path, engine_numbers))
+            report = asyncio.run(_measure(servers, engines, streams, seconds))
         finally:
-            for process in started:
+            for process in servers:
                 process.terminate()
                 process.wait()
     print(msgspec.json.encode(report).decode())
@@ -100,13 +101,13 @@
 
 
 async def _measure(
-    started: list[subprocess.Popen[str]],
+    servers: list[subprocess.Popen[str]],
     engines: int,
     streams: int,
     seconds: int,
 ) -> CostReport:
-    addresses = _addresses(started, engines)
-    idle = _spent(started)
+    addresses = _addresses(servers, engines)
+    idle = _usage(servers)
     tally = _Tally()
     client = CurlAsyncHTTPClient(
         force_instance=True, max_clients=engines * streams
@@ -117,21 +118,21 @@
             work = _stream(client, address, number, tally)
             tasks.append(asyncio.create_task(work))
     await asyncio.sleep(_WARM_UP_S)
-    before, tokens_before = _spent(started), tally.tokens
+    before, tokens_before = _usage(servers), tally.tokens
     await asyncio.sleep(seconds)
-    after, tokens = _spent(started), tally.tokens - tokens_before
+    after, tokens = _usage(servers), tally.tokens - tokens_before
     for task in tasks:
         task.cancel()
     used_s = after.seconds - before.seconds
     costs = EngineCosts()
     step_s = (costs.step_ms + costs.sequence_ms * streams) / 1000
-    allowed = engines * streams * seconds / step_s
+    full_rate_tokens = engines * streams * seconds / step_s
     return CostReport(
-        processes=len(started),
+        processes=len(servers),
         engines=engines,
         streams=streams,
         tokens_per_s=round(tokens / seconds),
-        paced_share=round(tokens / allowed, 3),
+        paced_share=round(tokens / full_rate_tokens, 3),
         cores=round(used_s / seconds, 3),
         cores_an_engine=round(used_s / seconds / engines, 4),
         us_a_token=round(used_s / tokens * 1e6, 1),
@@ -141,39 +142,39 @@
 
 
 def _addresses(
-    started: list[subprocess.Popen[str]], engines: int
+    servers: list[subprocess.Popen[str]], engines: int
 ) -> list[str]:
     addresses: list[str] = []
-    for number, process in enumerate(started):
+    for number, process in enumerate(servers):
         if process.stdout is None:
             continue
-        for _ in range(number, engines, len(started)):
+        for _ in range(number, engines, len(servers)):
             line = json.loads(process.stdout.readline())
             addresses.append(line['address'])
     return addresses
 
 
-def _spent(started: list[subprocess.Popen[str]]) -> _Spent:
+def _usage(servers: list[subprocess.Popen[str]]) -> _Usage:
     seconds = 0.0
     megabytes = 0.0
-    for process in started:
-        watched = psutil.Process(process.pid)
-        times = watched.cpu_times()
+    for process in servers:
+        server = psutil.Process(process.pid)
+        times = server.cpu_times()
         seconds += times.user + times.system
-        megabytes += watched.memory_info().rss / _MEGABYTE
-    return _Spent(seconds, megabytes)
+        megabytes += server.memory_info().rss / _BYTES_PER_MEGABYTE
+    return _Usage(seconds, megabytes)
 
 
 async def _stream(
     client: CurlAsyncHTTPClient, address: str, number: int, tally: _Tally
 ) -> None:
-    asked = 0
+    request_number = 0
     while True:
-        asked += 1
+        request_number += 1
         body = {
             'model': 'diag',
-            'prompt': f'{_PROMPT}{number} {asked}',
-            'max_tokens': _TOKENS,
+            'prompt': f'{_PROMPT}{number} {request_number}',
+            'max_tokens': _TOKENS_PER_ANSWER,
             'stream': True,
         }
         await client.fetch(
@@ -181,7 +182,7 @@
             method='POST',
             body=json.dumps(body),
             headers={'X-Cache-Salt': '00' * 16},
-            streaming_callback=tally.take,
+            streaming_callback=tally.count_events,
             request_timeout=_TIMEOUT_S,
         )
 
