--- a/features/steps/policy_trials_steps.py
+++ b/features/steps/policy_trials_steps.py
@@ -1,4 +1,4 @@
-"""Check how policies are compared."""
+"""Steps for comparing policies by paired plays."""
 
 import json
 import subprocess
@@ -11,16 +11,16 @@
 from behave.runner import Context
 from lacewing_bench.policy_trials import Arm
 from lacewing_bench.policy_trials import compare
-from lacewing_bench.policy_trials import read_arms
-from lacewing_bench.policy_trials import read_plays
+from lacewing_bench.policy_trials import parse_arms
+from lacewing_bench.policy_trials import parse_plays
 from lacewing_bench.policy_trials import report
 from lacewing_bench.policy_trials import Result
 from lacewing_bench.policy_trials import Results
-from lacewing_bench.policy_trials._runner import check_out
+from lacewing_bench.policy_trials._runner import check_out_arm
 from lacewing_bench.policy_trials._runner import play_all
 
 LOADS = 'loads of weights'
-# Stands in for the users' bench: notes each play and writes an entry.
+# A fake of the users' bench: records each play and writes a journal entry.
 BENCH = """#!/bin/sh
 [ "$1" = build ] && exit 0
 [ "$3" = "{fails}" ] && {{ echo broken; exit 1; }}
@@ -53,38 +53,38 @@
 
 @when('the arms "{first}" and "{second}" are read')
 def step_read(context: Context, first: str, second: str) -> None:
-    """Read both."""
-    context.arms = {arm.name: arm for arm in read_arms((first, second))}
+    """Parse both arms."""
+    context.arms = {arm.name: arm for arm in parse_arms((first, second))}
 
 
 @then('arm "{name}" is revision "{revision}" with patience {patience:f}')
 def step_arm(
     context: Context, name: str, revision: str, patience: float
 ) -> None:
-    """Look at one."""
+    """Check the parsed arm."""
     arm = context.arms[name]
     assert arm == Arm(name, revision, {'patience': patience}), arm
 
 
 @when('the arm "{text}" is read')
 def step_read_one(context: Context, text: str) -> None:
-    """Keep the error."""
+    """Parse one arm and store the error."""
     context.error = ''
     try:
-        read_arms((text,))
+        parse_arms((text,))
     except ValueError as error:
         context.error = str(error)
 
 
-@then('the text is refused with "{message}"')
+@then('the text is rejected with "{message}"')
 def step_refused(context: Context, message: str) -> None:
-    """Compare."""
+    """Check the error message."""
     assert context.error == message, context.error
 
 
 @when('worth differs by {differences} in paired plays')
 def step_differs(context: Context, differences: str) -> None:
-    """Compare pairs with these differences."""
+    """Compare result pairs with the given differences."""
     pairs = []
     for number, text in enumerate(differences.split()):
         before = _result('a', str(number), 0.5, 0.0)
@@ -95,13 +95,13 @@
 
 @then('the difference of worth is {verdict}')
 def step_verdict(context: Context, verdict: str) -> None:
-    """Look at the interval."""
-    assert context.worth.told_apart == (verdict == 'told apart')
+    """Check whether the interval excludes zero."""
+    assert context.worth.is_significant == (verdict == 'told apart')
 
 
 @when('two of four plays of the second arm pay {price:f} for loads')
 def step_price(context: Context, price: float) -> None:
-    """Compare prices that only some plays pay."""
+    """Compare plays of which only two have the price."""
     pairs = []
     for number in range(4):
         before = _result('a', str(number), 0.5, 0.0)
@@ -112,7 +112,7 @@
 
 @then('the price of loads differs by {price:f} on average')
 def step_price_mean(context: Context, price: float) -> None:
-    """Compare."""
+    """Check the mean difference."""
     assert abs(context.price.mean - price) < 1e-9, context.price
 
 
@@ -128,31 +128,31 @@
 
 @given('a bench that writes a journal entry for each play')
 def step_bench(context: Context) -> None:
-    """Write the stand-in."""
+    """Write the fake bench."""
     _bench(context, 'no day')
 
 
 @given('a bench that fails on day "{day}"')
 def step_bench_fails(context: Context, day: str) -> None:
-    """Write the stand-in."""
+    """Write the fake bench."""
     _bench(context, day)
 
 
 @when('two arms are played on 2 days with 2 seeds')
 @when('the same comparison is started again')
 def step_play(context: Context) -> None:
-    """Play all that was not played yet."""
-    context.arms = read_arms(('a=one', 'b=two'))
-    context.plays = read_plays(('x/site.toml',), ('day-1', 'day-2'), '1-2')
-    places = []
+    """Run the plays without a result."""
+    context.arms = parse_arms(('a=one', 'b=two'))
+    context.plays = parse_plays(('x/site.toml',), ('day-1', 'day-2'), '1-2')
+    clones = []
     for arm in context.arms:
-        place = context.directory / arm.name
-        place.mkdir(exist_ok=True)
-        places.append((arm, place))
+        clone = context.directory / arm.name
+        clone.mkdir(exist_ok=True)
+        clones.append((arm, clone))
     context.results = Results(context.directory / 'results.jsonl')
     context.failed_plays = play_all(
         context.bench,
-        places,
+        clones,
         context.plays,
         context.results,
         context.directory / 'kept',
@@ -163,16 +163,16 @@
 
 @then('each of the 8 plays was made once')
 def step_once(context: Context) -> None:
-    """Look at what the stand-in noted."""
+    """Check the plays that the fake bench recorded."""
     for arm in context.arms:
         plays = (context.directory / arm.name / 'plays').read_text()
         lines = plays.splitlines()
         assert len(lines) == len(set(lines)) == 4, lines
 
 
-@then('the journal entries are kept as they were written')
+@then('the journal entries are copied unchanged')
 def step_kept(context: Context) -> None:
-    """Compare the copies."""
+    """Check that the copies equal the originals."""
     kept = sorted((context.directory / 'kept').iterdir())
     assert len(kept) == 4, kept
     for entry in kept:
@@ -182,25 +182,25 @@
 
 @then('{count:d} plays are reported as failed')
 def step_failed(context: Context, count: int) -> None:
-    """Count the lines."""
+    """Check the reported failures."""
     assert len(context.failed_plays) == count, context.failed_plays
     assert all('broken' in line for line in context.failed_plays)
 
 
 @then('{count:d} pairs are compared')
 def step_pairs(context: Context, count: int) -> None:
-    """Look at the report."""
+    """Check the number of pairs in the report."""
     text = report(context.results, context.arms, context.plays)
     assert f'b against a, {count} pairs' in text, text
 
 
-@given('a repository with a template of settings')
+@given('a repository with a settings template')
 def step_repository(context: Context) -> None:
-    """Commit a template."""
+    """Commit a settings template."""
     _bench(context, 'no day')
-    place = context.directory / 'repository'
-    (place / 'deploy').mkdir(parents=True)
-    (place / 'deploy' / 'router.json').write_text('{\n  "a": {}\n}\n')
+    repository = context.directory / 'repository'
+    (repository / 'deploy').mkdir(parents=True)
+    (repository / 'deploy' / 'router.json').write_text('{\n  "a": {}\n}\n')
     for command in (
         ('init', '-q'),
         ('add', '.'),
@@ -214,20 +214,20 @@
             'Write a template',
         ),
     ):
-        subprocess.run(('git', '-C', str(place), *command), check=True)
+        subprocess.run(('git', '-C', str(repository), *command), check=True)
 
 
 @when('an arm with patience {patience:f} is checked out')
 def step_check_out(context: Context, patience: float) -> None:
-    """Clone it."""
+    """Check out the arm."""
     arm = Arm('half', 'HEAD', {'patience': patience})
-    context.place = check_out(
+    context.clone = check_out_arm(
         arm, context.directory / 'repository', context.directory
     )
 
 
 @then('its template is JSON with patience {patience:f}')
 def step_template(context: Context, patience: float) -> None:
-    """Read the template."""
-    text = (context.place / 'deploy' / 'router.json').read_text()
+    """Check the settings in the template."""
+    text = (context.clone / 'deploy' / 'router.json').read_text()
     assert json.loads(text) == {'a': {}, 'policy': {'patience': patience}}
--- a/packages/bench/src/lacewing_bench/policy_trials/__init__.py
+++ b/packages/bench/src/lacewing_bench/policy_trials/__init__.py
@@ -1,9 +1,9 @@
-"""Compare revisions and settings of the product on days of deployments."""
+"""Compare revisions and policy settings on simulated deployment days."""
 
 from lacewing_bench.policy_trials._plan import Arm
+from lacewing_bench.policy_trials._plan import parse_arms
+from lacewing_bench.policy_trials._plan import parse_plays
 from lacewing_bench.policy_trials._plan import Play
-from lacewing_bench.policy_trials._plan import read_arms
-from lacewing_bench.policy_trials._plan import read_plays
 from lacewing_bench.policy_trials._report import report
 from lacewing_bench.policy_trials._results import Result
 from lacewing_bench.policy_trials._results import Results
@@ -15,8 +15,8 @@
     'compare',
     'Difference',
     'Play',
-    'read_arms',
-    'read_plays',
+    'parse_arms',
+    'parse_plays',
     'report',
     'Result',
     'Results',
--- a/packages/bench/src/lacewing_bench/policy_trials/__main__.py
+++ b/packages/bench/src/lacewing_bench/policy_trials/__main__.py
@@ -5,12 +5,12 @@
 
 import fire
 
-from lacewing_bench.policy_trials._plan import read_arms
-from lacewing_bench.policy_trials._plan import read_plays
+from lacewing_bench.policy_trials._plan import parse_arms
+from lacewing_bench.policy_trials._plan import parse_plays
 from lacewing_bench.policy_trials._report import plot
 from lacewing_bench.policy_trials._report import report
 from lacewing_bench.policy_trials._results import Results
-from lacewing_bench.policy_trials._runner import check_out
+from lacewing_bench.policy_trials._runner import check_out_arm
 from lacewing_bench.policy_trials._runner import play_all
 
 
@@ -25,23 +25,23 @@
     repository: str = '.',
     at_once: int = 0,
 ) -> None:
-    """Play days for each arm, paired by day and seed, and compare them.
+    """Simulate days for each arm, paired by day and seed, and compare them.
 
-    The first of ``arms`` (separated by spaces, NAME=REVISION with optional
-    settings of the policy as JSON) is what the others are compared with.
-    What was played is kept in ``out``; a run that was ended goes on there.
+    ``arms`` are separated by spaces, each NAME=REVISION with optional policy
+    settings as JSON. The first one is the baseline of the comparison.
+    Results are stored in ``out``; an interrupted run resumes from there.
     """
     directory = Path(out).resolve()
-    all_arms = read_arms(arms.split())
-    plays = read_plays(sites.split(), days.split(), seeds)
+    all_arms = parse_arms(arms.split())
+    plays = parse_plays(sites.split(), days.split(), seeds)
     results = Results(directory / 'results.jsonl')
-    places = []
+    clones = []
     for arm in all_arms:
-        place = check_out(arm, Path(repository).resolve(), directory)
-        places.append((arm, place))
+        clone = check_out_arm(arm, Path(repository).resolve(), directory)
+        clones.append((arm, clone))
     failed = play_all(
         Path(bench).resolve(),
-        places,
+        clones,
         plays,
         results,
         directory / 'journal',
--- a/packages/bench/src/lacewing_bench/policy_trials/_plan.py
+++ b/packages/bench/src/lacewing_bench/policy_trials/_plan.py
@@ -1,4 +1,4 @@
-"""Read what is to be compared, and on which days."""
+"""Parse the arms to compare and the days to simulate."""
 
 import json
 from collections.abc import Mapping
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Arm:
-    """Name a revision of the product and settings of its policy."""
+    """Identify a revision of the product and its policy settings."""
 
     name: str
     revision: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Play:
-    """Name one day of a deployment with a seed."""
+    """Identify one simulated day of a deployment and its seed."""
 
     site: Path
     day: str
@@ -26,14 +26,14 @@
 
     @property
     def key(self) -> str:
-        """Return a name that is the same for all arms."""
+        """Return the key that pairs this play across all arms."""
         return f'{self.site.stem}:{self.day}:{self.seed}'
 
 
-def read_arms(texts: Sequence[str]) -> tuple[Arm, ...]:
-    """Read ``NAME=REVISION`` or ``NAME=REVISION{"policy": ...}``.
+def parse_arms(texts: Sequence[str]) -> tuple[Arm, ...]:
+    """Parse ``NAME=REVISION`` or ``NAME=REVISION{"policy": ...}``.
 
-    Raises ValueError if a text is neither.
+    Raises ValueError for any other text.
     """
     arms = []
     for text in texts:
@@ -46,10 +46,10 @@
     return tuple(arms)
 
 
-def read_plays(
+def parse_plays(
     sites: Sequence[str], days: Sequence[str], seeds: str
 ) -> tuple[Play, ...]:
-    """Read the plays of all sites, days and seeds ``FIRST-LAST``."""
+    """Return the plays of all sites, days and seeds ``FIRST-LAST``."""
     first, _, last = seeds.partition('-')
     numbers = range(int(first), int(last or first) + 1)
     plays = []
--- a/packages/bench/src/lacewing_bench/policy_trials/_report.py
+++ b/packages/bench/src/lacewing_bench/policy_trials/_report.py
@@ -1,4 +1,4 @@
-"""Print and plot what tells arms apart."""
+"""Format and plot the differences between arms."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -13,9 +13,9 @@
 from lacewing_bench.policy_trials._statistics import compare
 from lacewing_bench.policy_trials._statistics import Difference
 
-# Prices that change by less are left out.
-LEAST_PRICE = 0.001
-_ALWAYS = (
+# Prices with a smaller mean difference are omitted from the report.
+MIN_PRICE_DIFFERENCE = 0.001
+_ALWAYS_SHOWN = (
     'worth',
     'served',
     'refused',
@@ -25,10 +25,10 @@
 )
 
 
-def pairs_of(
+def paired_results(
     results: Results, base: Arm, other: Arm, plays: Sequence[Play]
 ) -> list[tuple[Result, Result]]:
-    """Return the results of all plays that both arms have."""
+    """Return the result pairs of all plays that both arms completed."""
     found = []
     for play in plays:
         before = results.get(base.name, play.key)
@@ -41,24 +41,24 @@
 def report(
     results: Results, arms: Sequence[Arm], plays: Sequence[Play]
 ) -> str:
-    """Return the comparison of all arms with the first one."""
+    """Return the comparison of every other arm with the first one."""
     base = arms[0]
     texts = []
     for arm in arms[1:]:
-        pairs = pairs_of(results, base, arm, plays)
+        pairs = paired_results(results, base, arm, plays)
         if not pairs:
             texts.append(f'{arm.name}: no play that {base.name} has too')
             continue
-        texts.append(_compared(base, arm, pairs))
+        texts.append(_format_comparison(base, arm, pairs))
     for arm in arms:
-        texts.extend(_broken(results, arm, plays))
+        texts.extend(_broken_rule_lines(results, arm, plays))
     return '\n\n'.join(texts)
 
 
 def plot(
     results: Results, arms: Sequence[Arm], plays: Sequence[Play], path: Path
 ) -> None:
-    """Draw the paired differences of worth, a row for each arm."""
+    """Plot the paired differences in worth, one row per arm."""
     import matplotlib
 
     matplotlib.use('Agg')
@@ -67,7 +67,7 @@
     figure, axes = pyplot.subplots(figsize=(9, 1.5 + 0.6 * len(arms)))
     names = []
     for row, arm in enumerate(arms[1:]):
-        pairs = pairs_of(results, arms[0], arm, plays)
+        pairs = paired_results(results, arms[0], arm, plays)
         names.append(f'{arm.name} ({len(pairs)})')
         if not pairs:
             continue
@@ -84,14 +84,14 @@
     pyplot.close(figure)
 
 
-def _compared(
+def _format_comparison(
     base: Arm, arm: Arm, pairs: Sequence[tuple[Result, Result]]
 ) -> str:
     differences = compare(pairs)
     rows = []
-    for name in _shown(differences):
+    for name in _shown_figures(differences):
         one = differences[name]
-        verdict = 'told apart' if one.told_apart else 'not told apart'
+        verdict = 'told apart' if one.is_significant else 'not told apart'
         rows.append((name, one.mean, one.half_width, verdict))
     head = f'{arm.name} against {base.name}, {len(pairs)} pairs'
     table = tabulate(
@@ -102,16 +102,21 @@
     return f'{head}\n{table}'
 
 
-def _shown(differences: Mapping[str, Difference]) -> list[str]:
-    shown = list(_ALWAYS)
+def _shown_figures(differences: Mapping[str, Difference]) -> list[str]:
+    shown = list(_ALWAYS_SHOWN)
     for name in sorted(differences):
-        if name in _ALWAYS or abs(differences[name].mean) < LEAST_PRICE:
+        if (
+            name in _ALWAYS_SHOWN
+            or abs(differences[name].mean) < MIN_PRICE_DIFFERENCE
+        ):
             continue
         shown.append(name)
     return shown
 
 
-def _broken(results: Results, arm: Arm, plays: Sequence[Play]) -> list[str]:
+def _broken_rule_lines(
+    results: Results, arm: Arm, plays: Sequence[Play]
+) -> list[str]:
     lines = []
     for play in plays:
         result = results.get(arm.name, play.key)
--- a/packages/bench/src/lacewing_bench/policy_trials/_runner.py
+++ b/packages/bench/src/lacewing_bench/policy_trials/_runner.py
@@ -1,4 +1,4 @@
-"""Play days with the users' bench, called as a program."""
+"""Run plays by calling the users' bench as a subprocess."""
 
 import json
 import re
@@ -20,72 +20,72 @@
 
 _SNAPSHOT = re.compile(r'^snapshot (\w+)', re.MULTILINE)
 _TEMPLATE = 'deploy/router.json'
-# What follows the last setting in the template.
+# Text after the last setting in the template.
 _TEMPLATE_END = '\n}\n'
-_ERROR_CHARS = 400
+_MAX_ERROR_CHARS = 400
 
 
 class PlayError(Exception):
-    """Report a play that left no figures."""
+    """Report a play that produced no figures."""
 
 
-def check_out(arm: Arm, repository: Path, directory: Path) -> Path:
-    """Return a clone of the arm's revision with its settings."""
-    place = directory / arm.name
-    if place.exists():
-        return place
-    _git('clone', '-q', str(repository), str(place))
-    _git('-C', str(place), 'checkout', '-q', '--detach', arm.revision)
+def check_out_arm(arm: Arm, repository: Path, directory: Path) -> Path:
+    """Clone the arm's revision, apply its settings and return the path."""
+    clone = directory / arm.name
+    if clone.exists():
+        return clone
+    _git('clone', '-q', str(repository), str(clone))
+    _git('-C', str(clone), 'checkout', '-q', '--detach', arm.revision)
     if arm.policy:
-        template = place / _TEMPLATE
+        template = clone / _TEMPLATE
         text = template.read_text().removesuffix(_TEMPLATE_END)
         policy = json.dumps(dict(arm.policy))
         template.write_text(f'{text},\n  "policy": {policy}{_TEMPLATE_END}')
-    return place
+    return clone
 
 
 def play_all(
     bench: Path,
-    places: Sequence[tuple[Arm, Path]],
+    clones: Sequence[tuple[Arm, Path]],
     plays: Sequence[Play],
     results: Results,
     journal: Path,
     why: str,
     at_once: int,
 ) -> list[str]:
-    """Play what was not played yet; return a line for each that failed.
+    """Run the plays without a result; return a line for each failed one.
 
-    Journal entries are copied to ``journal`` as they were written.
+    Journal entries are copied to ``journal`` unchanged.
     """
     failed = []
     with ThreadPoolExecutor(at_once) as pool:
-        # Plays of one clone would otherwise build it side by side.
-        list(pool.map(partial(_build, bench), places))
+        # Builds each clone once, or its plays would build it concurrently.
+        list(pool.map(partial(_build, bench), clones))
         running = []
         for play in plays:
-            for arm, place in places:
+            for arm, clone in clones:
                 if results.get(arm.name, play.key) is not None:
                     continue
                 running.append(
-                    pool.submit(_play, bench, arm, place, play, why, journal)
+                    pool.submit(_play, bench, arm, clone, play, why, journal)
                 )
         done = as_completed(running)
         for future in tqdm(done, total=len(running), unit='play'):
             try:
-                results.take(future.result())
+                results.add(future.result())
             except PlayError as error:
                 failed.append(str(error))
     return failed
 
 
-def _build(bench: Path, place: tuple[Arm, Path]) -> None:
+def _build(bench: Path, clone: tuple[Arm, Path]) -> None:
     subprocess.run(
-        [bench, 'build'], cwd=place[1], check=True, capture_output=True
+        [bench, 'build'], cwd=clone[1], check=True, capture_output=True
     )
 
 
 def _play(
-    bench: Path, arm: Arm, place: Path, play: Play, why: str, journal: Path
+    bench: Path, arm: Arm, clone: Path, play: Play, why: str, journal: Path
 ) -> Result:
     command = [
         str(bench),
@@ -98,22 +98,22 @@
         '--why',
         f'{why} [{arm.name}]',
     ]
-    done = subprocess.run(command, cwd=place, capture_output=True, text=True)
+    done = subprocess.run(command, cwd=clone, capture_output=True, text=True)
     found = _SNAPSHOT.search(done.stdout)
     if found is None:
-        end = (done.stdout + done.stderr)[-_ERROR_CHARS:]
+        end = (done.stdout + done.stderr)[-_MAX_ERROR_CHARS:]
         raise PlayError(f'{arm.name} {play.key}: no snapshot: {end}')
     snapshot = found.group(1)
-    entry = _entry(place, snapshot)
+    entry = _find_journal_entry(clone, snapshot)
     journal.mkdir(parents=True, exist_ok=True)
     shutil.copy2(entry, journal / entry.name)
     return _result(arm, play, snapshot, json.loads(entry.read_text()))
 
 
-def _entry(place: Path, snapshot: str) -> Path:
-    entries = sorted((place / 'journal').glob(f'*-{snapshot}.json'))
+def _find_journal_entry(clone: Path, snapshot: str) -> Path:
+    entries = sorted((clone / 'journal').glob(f'*-{snapshot}.json'))
     if not entries:
-        raise PlayError(f'no journal entry of {snapshot} in {place}')
+        raise PlayError(f'no journal entry of {snapshot} in {clone}')
     return entries[-1]
 
 
--- a/packages/bench/src/lacewing_bench/policy_trials/_statistics.py
+++ b/packages/bench/src/lacewing_bench/policy_trials/_statistics.py
@@ -1,4 +1,4 @@
-"""Compare two arms play by play."""
+"""Compute paired differences between two arms."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -8,9 +8,9 @@
 
 from lacewing_bench.policy_trials._results import Result
 
-# Half-widths of 95% intervals in standard errors, by the number of pairs up to
-# which they are used (Student's t).
-_WIDTHS = (
+# Half-widths of 95% confidence intervals in standard errors (Student's t).
+# Each entry applies up to its number of pairs.
+_T_QUANTILES = (
     (2, 12.71),
     (3, 4.30),
     (4, 3.18),
@@ -21,7 +21,7 @@
     (20, 2.09),
     (40, 2.02),
 )
-_WIDTH_OF_MANY = 1.96
+_NORMAL_QUANTILE = 1.96
 
 
 @dataclass(frozen=True)
@@ -36,8 +36,8 @@
     half_width: float
 
     @property
-    def told_apart(self) -> bool:
-        """Tell whether the interval leaves zero out."""
+    def is_significant(self) -> bool:
+        """Return whether the interval excludes zero."""
         return abs(self.mean) > self.half_width
 
 
@@ -59,7 +59,7 @@
 def compare(
     pairs: Sequence[tuple[Result, Result]],
 ) -> Mapping[str, Difference]:
-    """Return by figure by how much the second of each pair is higher."""
+    """Return, by figure, the mean increase from first to second result."""
     differences: dict[str, list[float]] = {}
     for before, after in pairs:
         was = figures(before)
@@ -69,22 +69,22 @@
             differences.setdefault(name, []).append(difference)
     found = {}
     for name, values in differences.items():
-        # A price that a play does not name was not paid there.
+        # A price missing from a play counts as zero there.
         values.extend([0.0] * (len(pairs) - len(values)))
-        found[name] = _difference(values)
+        found[name] = _summarize(values)
     return found
 
 
-def _difference(values: Sequence[float]) -> Difference:
+def _summarize(values: Sequence[float]) -> Difference:
     count = len(values)
     if count < 2:
         return Difference(count, mean(values), float('inf'))
     error = stdev(values) / count**0.5
-    return Difference(count, mean(values), _width(count) * error)
+    return Difference(count, mean(values), _quantile(count) * error)
 
 
-def _width(count: int) -> float:
-    for most, width in _WIDTHS:
-        if count <= most:
-            return width
-    return _WIDTH_OF_MANY
+def _quantile(count: int) -> float:
+    for max_count, quantile in _T_QUANTILES:
+        if count <= max_count:
+            return quantile
+    return _NORMAL_QUANTILE
