--- a/packages/bench/src/lacewing_bench/crash_errors/__init__.py
+++ b/packages/bench/src/lacewing_bench/crash_errors/__init__.py
@@ -1,4 +1,4 @@
-"""Weigh two errors: crashing upstreams once more, and shutting others out."""
+"""Weigh further upstream crashes against wrongly blocked requests."""
 
 from lacewing_bench.crash_errors._model import Load
 from lacewing_bench.crash_errors._model import Outcome
@@ -7,7 +7,7 @@
 from lacewing_bench.crash_errors._rules import COUNTED_3
 from lacewing_bench.crash_errors._rules import EXPLAINED_2
 from lacewing_bench.crash_errors._rules import EXPLAINED_4
-from lacewing_bench.crash_errors._rules import NONE
+from lacewing_bench.crash_errors._rules import NO_BLOCKING
 from lacewing_bench.crash_errors._rules import USED
 
 __all__ = [
@@ -16,7 +16,7 @@
     'EXPLAINED_2',
     'EXPLAINED_4',
     'Load',
-    'NONE',
+    'NO_BLOCKING',
     'Outcome',
     'USED',
     'play',
--- a/packages/bench/src/lacewing_bench/crash_errors/__main__.py
+++ b/packages/bench/src/lacewing_bench/crash_errors/__main__.py
@@ -1,4 +1,4 @@
-"""Print both errors for each rule and load: ``make crash-errors``."""
+"""Print both kinds of errors by rule and load: ``make crash-errors``."""
 
 from collections.abc import Mapping
 from dataclasses import fields
@@ -13,7 +13,7 @@
 from lacewing_bench.crash_errors._rules import COUNTED_3
 from lacewing_bench.crash_errors._rules import EXPLAINED_2
 from lacewing_bench.crash_errors._rules import EXPLAINED_4
-from lacewing_bench.crash_errors._rules import NONE
+from lacewing_bench.crash_errors._rules import NO_BLOCKING
 from lacewing_bench.crash_errors._rules import Rule
 from lacewing_bench.crash_errors._rules import USED
 
@@ -21,15 +21,17 @@
     'one culprit': Load(),
     'one, all resumable': Load(resumable=1.0),
     'one, 22 engines': Load(engines=22, rate=130.0),
-    'four culprits': Load(culprits=4, resumable=1.0),
-    'none, stray crashes': Load(culprits=0, resumable=1.0, stray_s=1.0),
+    'four culprits': Load(crash_callers=4, resumable=1.0),
+    'none, stray crashes': Load(
+        crash_callers=0, resumable=1.0, stray_crash_interval_s=1.0
+    ),
 }
-RULES = (NONE, COUNTED_2, COUNTED_3, EXPLAINED_2, USED, EXPLAINED_4)
+RULES = (NO_BLOCKING, COUNTED_2, COUNTED_3, EXPLAINED_2, USED, EXPLAINED_4)
 COUNTS = tuple(one.name for one in fields(Outcome))
 
 
 def mean(load: Load, rule: Rule, seeds: int) -> tuple[float, ...]:
-    """Return the mean of each count over plays with different seeds."""
+    """Return the mean of each count over simulations with different seeds."""
     sums = [0.0] * len(COUNTS)
     for seed in range(seeds):
         outcome = play(load, rule, seed)
@@ -39,9 +41,9 @@
 
 
 def main(seeds: int = 40) -> None:
-    """Print a table for each load, means of so many plays."""
+    """Print a table of means over ``seeds`` simulations for each load."""
     for name, load in LOADS.items():
-        print(f'\n{name}: means of {seeds} plays of {load.lasts_s:g} s')
+        print(f'\n{name}: means of {seeds} plays of {load.duration_s:g} s')
         rows = []
         for rule in RULES:
             rows.append((rule.name, *mean(load, rule, seeds)))
--- a/packages/bench/src/lacewing_bench/crash_errors/_rules.py
+++ b/packages/bench/src/lacewing_bench/crash_errors/_rules.py
@@ -1,4 +1,4 @@
-"""Give the rules that are compared: the one in use and others."""
+"""Define the blocking rules to compare: the one in use and alternatives."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,58 +12,63 @@
 
 
 class Registry(Protocol):
-    """Hold crashes and tell which requests are blocked from upstreams."""
+    """Record crashes and decide which requests are blocked."""
 
     @property
     def blocked(self) -> frozenset[str]:
-        """Return the fingerprints of what is blocked."""
+        """Return the fingerprints of the blocked requests."""
 
     def merge(self, record: CrashRecord) -> object:
-        """Take what ran at a crash."""
+        """Merge the record of a crash."""
 
     def exonerate(self, fingerprint: str) -> object:
-        """Note that a request ran well."""
+        """Exonerate a request that completed."""
 
 
-class CountedAlone:
-    """Block whatever ran at so many crashes, whoever caused them."""
+class CrashCounter:
+    """Block requests that ran at a number of crashes, whatever the cause."""
 
-    def __init__(self, to_block: float) -> None:
-        self._to_block = to_block
-        self._under: dict[str, set[UpstreamIncarnation]] = {}
+    def __init__(self, threshold: float) -> None:
+        self._threshold = threshold
+        self._incarnations: dict[str, set[UpstreamIncarnation]] = {}
 
     @property
     def blocked(self) -> frozenset[str]:
-        """Return the fingerprints of what is blocked."""
-        found = set()
-        for fingerprint, starts in self._under.items():
-            if len(starts) >= self._to_block:
-                found.add(fingerprint)
-        return frozenset(found)
+        """Return the fingerprints of the blocked requests."""
+        blocked_fingerprints = set()
+        for fingerprint, incarnations in self._incarnations.items():
+            if len(incarnations) >= self._threshold:
+                blocked_fingerprints.add(fingerprint)
+        return frozenset(blocked_fingerprints)
 
     def merge(self, record: CrashRecord) -> None:
-        """Take what ran at a crash."""
+        """Merge the record of a crash."""
         for suspect in record.suspects:
-            starts = self._under.setdefault(suspect.fingerprint, set())
-            starts.add(record.start)
+            incarnations = self._incarnations.setdefault(
+                suspect.fingerprint, set()
+            )
+            incarnations.add(record.start)
 
     def exonerate(self, fingerprint: str) -> None:
-        """Note that a request ran well."""
-        self._under.pop(fingerprint, None)
+        """Exonerate a request that completed."""
+        self._incarnations.pop(fingerprint, None)
 
 
 @dataclass(frozen=True)
 class Rule:
-    """Name a rule and make its registry."""
+    """Hold the name of a rule and the factory of its registry."""
 
     name: str
     registry: Callable[[Clock], Registry]
 
 
-NONE = Rule('nothing is blocked', lambda _clock: CountedAlone(float('inf')))
-COUNTED_2 = Rule('2 crashes, counted alone', lambda _clock: CountedAlone(2))
-COUNTED_3 = Rule('3 crashes, counted alone', lambda _clock: CountedAlone(3))
-# One less than each is enough if it is the only one and brought no event.
+NO_BLOCKING = Rule(
+    'nothing is blocked', lambda _clock: CrashCounter(float('inf'))
+)
+COUNTED_2 = Rule('2 crashes, counted alone', lambda _clock: CrashCounter(2))
+COUNTED_3 = Rule('3 crashes, counted alone', lambda _clock: CrashCounter(3))
+# One crash less suffices if no other request has as many and if none of its
+# runs had returned an event.
 EXPLAINED_2 = Rule('2, explained', lambda clock: CrashRegistry(2, clock))
 USED = Rule('3, explained (in use)', lambda clock: CrashRegistry(clock=clock))
 EXPLAINED_4 = Rule('4, explained', lambda clock: CrashRegistry(4, clock))
