--- a/features/steps/policy_trials_steps.py
+++ b/features/steps/policy_trials_steps.py
@@ -1,4 +1,4 @@
-"""Steps for comparing policies by paired plays."""
+"""Check the comparison of policies by paired plays."""
 
 import json
 import subprocess
