--- a/features/steps/audit_steps.py
+++ b/features/steps/audit_steps.py
@@ -4,12 +4,12 @@
 from behave import then
 from behave import when
 from behave.runner import Context
+from lacewing_common.audit import append_rolls
 from lacewing_common.audit import BUNDLE_TRAIL
 from lacewing_common.audit import compare_rolls
-from lacewing_common.audit import enter_rolls
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
-from lacewing_daemon._audit import trail_of
+from lacewing_daemon._audit import audit_trail_name
 from support.audit_bench import AuditBench
 from support.audit_bench import make_record
 from support.audit_bench import read_trail
@@ -29,7 +29,7 @@
     """Enter the rolls that are not entered yet."""
     bench = context.audit
     entered = bench.runner.run(
-        enter_rolls(bench.log(BUNDLE_TRAIL), bench.reads, bench.rolls.reads)
+        append_rolls(bench.log(BUNDLE_TRAIL), bench.reads, bench.rolls.reads)
     )
     assert not isinstance(entered, RollError), entered
 
@@ -138,14 +138,16 @@
 @then('{count:d} records wait')
 def wait(context: Context, count: int) -> None:
     """Count what the daemon holds."""
-    assert context.audit.buffer.waiting == count, context.audit.buffer.waiting
+    assert context.audit.buffer.pending_count == count, (
+        context.audit.buffer.pending_count
+    )
 
 
 @then('the trail "{name}" is whole, with {count:d} entries')
 def whole(context: Context, name: str, count: int) -> None:
     """Verify a trail and count its entries and their ids."""
     trail = context.audit.trail(name)
-    assert trail.whole and not trail.faults, trail.faults
+    assert trail.is_complete and not trail.faults, trail.faults
     ids = {entry.record.record_id for entry in trail.entries}
     assert len(trail.entries) == count, len(trail.entries)
     assert len(ids) == count, len(ids)
@@ -191,7 +193,7 @@
     """Read the trail of a process from the platform of a fleet."""
     fleet = context.bench.fleet
     slot = fleet.daemon(process_id).slot
-    name = trail_of(process_id, slot.zone)
+    name = audit_trail_name(process_id, slot.zone)
     trail = context.bench.run(read_trail(fleet.platform_url, name))
     assert not trail.faults, trail.faults
     results: list[str] = []
--- a/features/steps/bundle_steps.py
+++ b/features/steps/bundle_steps.py
@@ -7,7 +7,7 @@
 from behave.runner import Context
 from lacewing_common.bundle import Bundle
 from lacewing_common.bundle import Policies
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.bundles import check_bundle
 from lacewing_common.bundles import join
 from lacewing_common.bundles import Proof
@@ -31,7 +31,7 @@
     """Make a bundle and a process that knows its operators as the root."""
     bench = BundleBench()
     bench.list_operators(names.split(', '))
-    bench.guard = BundleGuard(bench.bundle.operators)
+    bench.guard = BundleValidator(bench.bundle.operators)
     context.bundles = bench
 
 
@@ -261,7 +261,7 @@
 def start_cold(context: Context) -> None:
     """Offer the bundle in force to a process that knows only the root."""
     bench = context.bundles
-    bench.guard = BundleGuard(context.root)
+    bench.guard = BundleValidator(context.root)
     bench.offer(bench.in_force)
 
 
--- a/features/steps/cache_store_steps.py
+++ b/features/steps/cache_store_steps.py
@@ -133,8 +133,8 @@
 def dear_imports(context: Context) -> None:
     """Learn cheap blocks."""
     for _ in range(200):
-        context.knowledge.prefill.learn(10.0, 30.0)
-        context.knowledge.prefill.learn(20.0, 30.5)
+        context.knowledge.prefill.update(10.0, 30.0)
+        context.knowledge.prefill.update(20.0, 30.5)
     assert context.knowledge.prefill.ms_per_block < context.kept.import_ms
 
 
--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -115,7 +115,7 @@
     context.member_table.reads = 0
     for _ in range(50):
         for address in context.members.agent_addresses():
-            assert not context.members.leaving(address)
+            assert not context.members.is_leaving(address)
 
 
 @then('the table was read once')
@@ -132,4 +132,4 @@
     known = context.member_table.get(record.process_id)
     gone = msgspec.structs.replace(gone, incarnation=known.incarnation)
     context.member_table.merge(gone)
-    assert context.members.leaving(record.address)
+    assert context.members.is_leaving(record.address)
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -150,7 +150,7 @@
 def _all_routers_block(bench: DirectBench) -> bool:
     def all_block() -> bool:
         return bool(bench.routers) and all(
-            router._fleet.crash_guard._ledger.blocked
+            router._fleet.crash_guard._registry.blocked
             for router in bench.routers
         )
 
--- a/features/steps/direct_store_steps.py
+++ b/features/steps/direct_store_steps.py
@@ -252,7 +252,7 @@
     bench = direct_bench(context)
     connection: http.client.HTTPConnection = bench.connect()
     bench.ask_on(connection, '/records/1')
-    front = bench.routers[0]._front
+    front = bench.routers[0]._caller_server
     # A stop between an answer and the wait for the next request ends the
     # connection at once; here it is to be quiet when the stop comes.
     bench.until(lambda: len(front._quiet) == 1, 'a quiet connection')
--- a/features/steps/distribution_steps.py
+++ b/features/steps/distribution_steps.py
@@ -12,8 +12,8 @@
 from lacewing_common.document import DocumentHead
 from lacewing_common.document import part_digest
 from lacewing_common.settings import PeerSettings
+from lacewing_ctl._distribution import distribute
 from lacewing_ctl._fleet_file import FleetFile
-from lacewing_ctl._handover import hand_over
 from msgspec.structs import replace
 from support.fleet_bench import FleetBench
 from support.fleet_bench import small
@@ -61,7 +61,7 @@
     """Do what lacewingctl does after a roll."""
     bench = context.bench
     fleet = FleetFile(operators=bench.fleet.operators)
-    taken = bench.run(hand_over(fleet, context.rolled.document))
+    taken = bench.run(distribute(fleet, context.rolled.document))
     assert taken == 3, taken
 
 
--- a/features/steps/explore_steps.py
+++ b/features/steps/explore_steps.py
@@ -37,7 +37,7 @@
         await store.put(kind, name, value, expect)
         return StoredObject(kind, name, expect + 1, value)
 
-    _patch(context, _range_writer, 'put_resolving', put)
+    _patch(context, _range_writer, 'put_with_resolution', put)
 
 
 @given('asks that close no id')
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -215,7 +215,7 @@
     """Wait for the lease and look how long ago another may have acted."""
     bench = direct_bench(context)
     planner = bench.routers[0]._planner
-    bench.until(lambda: planner._held, 'a holder of the lease')
+    bench.until(lambda: planner._holds_lease, 'a holder of the lease')
     began_s = time.monotonic()
     bench.until(lambda: planner._orders_from_s > 0, 'a first order')
     ago_s = planner._lease.other_acted_ago_s - (time.monotonic() - began_s)
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -262,7 +262,7 @@
     leaving = state == VmState.LEAVING.value
     bench.until(
         lambda: all(
-            peer.node.members.leaving(address) is leaving
+            peer.node.members.is_leaving(address) is leaving
             for peer in bench.peers.values()
         ),
         f'{state} of {name}',
@@ -421,7 +421,7 @@
     bench.until_all_think(name, _is_leaving)
     address = bench.peers[name].address
     for peer in bench.peers.values():
-        assert peer.node.members.leaving(address), peer.name
+        assert peer.node.members.is_leaving(address), peer.name
 
 
 @then('all agree on the new address of "{name}"')
--- a/features/steps/rolling_steps.py
+++ b/features/steps/rolling_steps.py
@@ -13,12 +13,12 @@
 from lacewing_bench.rolling import new_roller
 from lacewing_common.bundle import RolledBundle
 from lacewing_common.bundles import assemble
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.document import Document
 from lacewing_common.platform_client import PlatformClient
 from lacewing_common.rolls import BundleReads
-from lacewing_common.rolls import Rolled
 from lacewing_common.rolls import RollError
+from lacewing_common.rolls import RollResult
 from lacewing_common.rolls import StoredHead
 
 
@@ -42,7 +42,7 @@
     rolled = context.runner.run(
         context.roller.roll_at(context.server.url, bundle)
     )
-    assert isinstance(rolled, Rolled), rolled
+    assert isinstance(rolled, RollResult), rolled
 
 
 @then(
@@ -52,7 +52,9 @@
 def uses(context: Context, number: int, name: str) -> None:
     """Read the platform as a process does."""
     document = context.runner.run(
-        _read(context.server.url, BundleGuard(context.roller.root_operators))
+        _read(
+            context.server.url, BundleValidator(context.roller.root_operators)
+        )
     )
     assert isinstance(document, Document), document
     rolled = assemble(document)
@@ -62,7 +64,7 @@
     assert {team.name for team in rolled.bundle.teams} == wanted
 
 
-async def _read(url: str, guard: BundleGuard) -> Document | RollError:
+async def _read(url: str, guard: BundleValidator) -> Document | RollError:
     client = PlatformClient(url)
     try:
         reads = BundleReads(client, guard)
--- a/features/steps/rolls_steps.py
+++ b/features/steps/rolls_steps.py
@@ -7,12 +7,12 @@
 from behave import when
 from behave.runner import Context
 from lacewing_bench.platform import ObjectKey
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.document import Document
 from lacewing_common.document import part_digest
-from lacewing_common.rolls import Rolled
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
+from lacewing_common.rolls import RollResult
 from support.rolls_bench import LenientGuard
 from support.rolls_bench import RollsBench
 
@@ -102,7 +102,7 @@
 def start_strict(context: Context) -> None:
     """Use the guard of this release."""
     bench = context.rolls
-    bench.guard = BundleGuard(bench.root)
+    bench.guard = BundleValidator(bench.root)
 
 
 @when('each part of the bundle in force is {damaged} at the platform')
@@ -115,7 +115,7 @@
 def starts(context: Context, number: int) -> None:
     """Read and check the bundle in force."""
     bench = context.rolls
-    bench.guard = BundleGuard(bench.root)
+    bench.guard = BundleValidator(bench.root)
     head = bench.runner.run(bench.reads.head())
     document = bench.runner.run(bench.reads.document(head))
     assert isinstance(document, Document), document
@@ -135,7 +135,7 @@
 def in_force(context: Context, number: int) -> None:
     """Check the answer to the roll and the head."""
     bench = context.rolls
-    assert isinstance(bench.result, Rolled), bench.result
+    assert isinstance(bench.result, RollResult), bench.result
     assert bench.result.number == number, bench.result
     head = bench.runner.run(bench.reads.head())
     assert head.head.version == number, head
@@ -145,7 +145,7 @@
 def told(context: Context, number: int) -> None:
     """Check the answer to the roll alone."""
     result = context.rolls.result
-    assert isinstance(result, Rolled), result
+    assert isinstance(result, RollResult), result
     assert result.number == number, result
 
 
@@ -196,7 +196,7 @@
         expected -= 1
         if not roll.previous:
             break
-        before = bench.runner.run(bench.reads.before(stored))
+        before = bench.runner.run(bench.reads.previous_head(stored))
         assert part_digest(before.value) == roll.previous
         stored = before
     assert expected == 0, expected
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -24,7 +24,7 @@
 from lacewing_common.verdict import Verdict
 from lacewing_common.wire import CacheReport
 from lacewing_common.wire import LoadReport
-from lacewing_daemon.rendezvous import best
+from lacewing_daemon.rendezvous import highest_ranked
 from lacewing_daemon.router._candidates import Finder
 from lacewing_daemon.router._expected_cost import ExpectedCost
 from lacewing_daemon.router._hints import Hints
@@ -250,9 +250,9 @@
     def check(key: bytes, gone: int) -> None:
         ids = fleet(count).ids
         kept = ids[:gone] + ids[gone + 1 :]
-        before = best(key, ids)
+        before = highest_ranked(key, ids)
         if before != ids[gone]:
-            assert best(key, kept) == before
+            assert highest_ranked(key, kept) == before
 
     check()
 
@@ -405,7 +405,7 @@
     workers = fleet(40)
     finder = Finder(random.Random(1))
     homes = finder.find(asked, workers, {}, context.width).homes
-    first = best(asked.blocks[asked.levels[0] - 1], workers.ids)
+    first = highest_ranked(asked.blocks[asked.levels[0] - 1], workers.ids)
     assert len(homes) == count, homes
     assert first in homes, (first, homes)
 
--- a/features/steps/slow_answers_steps.py
+++ b/features/steps/slow_answers_steps.py
@@ -167,7 +167,7 @@
     def __init__(self) -> None:
         self.given_up: list[str] = []
 
-    def give_up(self, _request: object, message: str) -> None:
+    def abort(self, _request: object, message: str) -> None:
         """Record the message."""
         self.given_up.append(message)
 
--- a/features/support/audit_bench.py
+++ b/features/support/audit_bench.py
@@ -11,20 +11,20 @@
 from lacewing_common.audit import AuditLog
 from lacewing_common.audit import AuditReads
 from lacewing_common.audit import AuditRecord
-from lacewing_common.audit import Trail
+from lacewing_common.audit import AuditTrail
 from lacewing_common.document_objects import PARTS
-from lacewing_common.patience import Patience
 from lacewing_common.platform_client import PlatformClient
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
 from support.bundle_bench import AT
 from support.rolls_bench import OvertakenStore
 from support.rolls_bench import RollsBench
 
-_PATIENCE = Patience(
+_PATIENCE = RetryPolicy(
     give_up_after_s=20.0, backoff_base_s=0.001, backoff_cap_s=0.01
 )
-_IMPATIENT = Patience(
+_IMPATIENT = RetryPolicy(
     give_up_after_s=0.0, backoff_base_s=0.001, backoff_cap_s=0.001
 )
 
@@ -56,14 +56,14 @@
         """Return the queries."""
         return AuditReads(self.rolls.store, _PATIENCE, Random(3))
 
-    def log(self, name: str, patience: Patience = _PATIENCE) -> AuditLog:
+    def log(self, name: str, patience: RetryPolicy = _PATIENCE) -> AuditLog:
         """Return a writer of a trail."""
         return AuditLog(self.rolls.store, name, patience, Random(4))
 
-    def trail(self, name: str) -> Trail:
+    def trail(self, name: str) -> AuditTrail:
         """Read a whole trail."""
         trail = self.runner.run(self.reads.trail(name, 0))
-        assert isinstance(trail, Trail), trail
+        assert isinstance(trail, AuditTrail), trail
         return trail
 
     def report(self) -> None:
@@ -156,12 +156,12 @@
         return stored
 
 
-async def read_trail(platform_url: str, name: str) -> Trail:
+async def read_trail(platform_url: str, name: str) -> AuditTrail:
     """Read a trail over HTTP."""
     client = PlatformClient(platform_url)
     try:
         trail = await AuditReads(client, _PATIENCE).trail(name, 0)
     finally:
         client.close()
-    assert isinstance(trail, Trail), trail
+    assert isinstance(trail, AuditTrail), trail
     return trail
--- a/features/support/bundle_bench.py
+++ b/features/support/bundle_bench.py
@@ -12,8 +12,9 @@
 from lacewing_common.bundle import ServiceKind
 from lacewing_common.bundle import Team
 from lacewing_common.bundles import BUNDLE
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.bundles import contents_of_parts
+from lacewing_common.bundles import make_successor
 from lacewing_common.bundles import new_key
 from lacewing_common.bundles import OperatorKey
 from lacewing_common.bundles import Predecessor
@@ -22,7 +23,6 @@
 from lacewing_common.bundles import SignOff
 from lacewing_common.bundles import SignOffRole
 from lacewing_common.bundles import split
-from lacewing_common.bundles import succeed
 from lacewing_common.document import Document
 from lacewing_common.document import DocumentHead
 from lacewing_common.document import part_digest
@@ -75,7 +75,7 @@
         self.trust_since = 0
         self.in_force: Document | None = None
         self.refusal: Refusal | None = None
-        self.guard = BundleGuard(())
+        self.guard = BundleValidator(())
         self._raw: object = None
 
     def key(self, operator: str) -> OperatorKey:
@@ -84,9 +84,9 @@
             self.keys[operator] = new_key(operator)
         return self.keys[operator]
 
-    def guard_of(self, names: list[str]) -> BundleGuard:
+    def guard_of(self, names: list[str]) -> BundleValidator:
         """Return the guard of a process with these root operators."""
-        return BundleGuard(tuple(self.key(name).public for name in names))
+        return BundleValidator(tuple(self.key(name).public for name in names))
 
     def list_operators(self, names: list[str]) -> None:
         """Make these the operators of the bundle."""
@@ -136,7 +136,7 @@
         previous = None
         if before is not None:
             previous = Predecessor(before.head, before.parts[0])
-        made = succeed(previous, order, self.key(operator))
+        made = make_successor(previous, order, self.key(operator))
         assert isinstance(made, Document), made
         return made
 
@@ -145,7 +145,7 @@
         self.refusal = self.guard(document)
         if self.refusal is not None:
             return
-        self.guard.remember(document)
+        self.guard.record_trust(document)
         self.in_force = document
         self.sign_offs = []
 
--- a/features/support/claims_bench.py
+++ b/features/support/claims_bench.py
@@ -37,7 +37,7 @@
 from lacewing_daemon.claims._document import KIND
 from lacewing_daemon.claims._document import read_book
 from lacewing_daemon.claims._record import Claim
-from lacewing_daemon.rendezvous import best
+from lacewing_daemon.rendezvous import highest_ranked
 from lacewing_daemon.router import RunningRouter
 from lacewing_daemon.router import start_router
 from lacewing_daemon.router._keys import hash_key
@@ -212,7 +212,7 @@
     def home(self) -> Site:
         """Return the site to which routers send the range's keys."""
         point = range_point(SERVICE, RANGE)
-        name = best(point, tuple(site.name for site in self.sites))
+        name = highest_ranked(point, tuple(site.name for site in self.sites))
         return next(site for site in self.sites if site.name == name)
 
     @property
--- a/features/support/placement_bench.py
+++ b/features/support/placement_bench.py
@@ -27,11 +27,11 @@
 from lacewing_common.identity import Place
 from lacewing_common.identity import ProcessName
 from lacewing_common.identity import Role
-from lacewing_common.plan import guard_plan
 from lacewing_common.plan import HeldModel
 from lacewing_common.plan import Plan
 from lacewing_common.plan import plan_name
 from lacewing_common.plan import read_plan
+from lacewing_common.plan import validate_plan
 from lacewing_common.settings import PeerSettings
 from lacewing_common.settings import PlacementSettings
 from lacewing_common.settings import Settings
@@ -212,7 +212,7 @@
         self.node = PeerNode(
             name,
             settings,
-            {DocumentKind.PLAN: guard_plan},
+            {DocumentKind.PLAN: validate_plan},
             lambda: tuple(contacts),
             Random(int(self.name[-1])),
         )
--- a/features/support/platform_bench.py
+++ b/features/support/platform_bench.py
@@ -21,7 +21,7 @@
 from lacewing_bench.platform import WeightSettings
 from lacewing_common.platform_client import ClientOptions
 from lacewing_common.platform_client import PlatformClient
-from lacewing_common.put_resolving import put_resolving
+from lacewing_common.resolved_put import put_with_resolution
 from lacewing_common.store import MUST_NOT_EXIST
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
@@ -123,7 +123,7 @@
         """Write an object, resolve a lost answer, keep the result."""
         kind, name = split(path)
         self.result = self.runner.run(
-            put_resolving(self.store, kind, name, value, expect)
+            put_with_resolution(self.store, kind, name, value, expect)
         )
 
     def read(self, path: str) -> None:
--- a/features/support/rolls_bench.py
+++ b/features/support/rolls_bench.py
@@ -15,7 +15,7 @@
 from lacewing_bench.platform import PlatformService
 from lacewing_bench.platform import PlatformSettings
 from lacewing_common.bundle import Bundle
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.bundles import contents_of_parts
 from lacewing_common.bundles import join
 from lacewing_common.bundles import new_key
@@ -28,14 +28,14 @@
 from lacewing_common.document_objects import encode_head
 from lacewing_common.document_objects import HEADS
 from lacewing_common.document_objects import PARTS
-from lacewing_common.patience import Patience
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.rolls import BundleReads
 from lacewing_common.rolls import BundleWrites
 from lacewing_common.rolls import HistoryEntry
 from lacewing_common.rolls import make_rollback
-from lacewing_common.rolls import Rolled
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
+from lacewing_common.rolls import RollResult
 from lacewing_common.rolls import StoredHead
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
@@ -44,7 +44,7 @@
 from support.bundle_bench import AT
 from support.bundle_bench import make_bundle
 
-_PATIENCE = Patience(
+_PATIENCE = RetryPolicy(
     give_up_after_s=20.0, backoff_base_s=0.001, backoff_cap_s=0.01
 )
 _UNLIMITED = 1e9
@@ -79,7 +79,7 @@
         return StoreError(StoreFault.UNKNOWN, 'the answer was lost')
 
 
-class LenientGuard(BundleGuard):
+class LenientGuard(BundleValidator):
     """Be the guard of a release that has fewer checks."""
 
     def __call__(self, document: Document) -> Refusal | None:
@@ -120,10 +120,10 @@
             self.keys[name] = new_key(name)
         root = tuple(key.public for key in self.keys.values())
         self.root = root
-        self.guard = BundleGuard(root)
+        self.guard = BundleValidator(root)
         self.bundle = msgspec.structs.replace(make_bundle(), operators=root)
         self.drafts: dict[str, Draft] = {}
-        self.result: Rolled | RollError | None = None
+        self.result: RollResult | RollError | None = None
         self._nonces = 0
 
     @property
@@ -147,7 +147,7 @@
         stored = await self.reads.head()
         if isinstance(stored, StoredHead):
             base = stored.head.version
-            document = await self.reads.signed(stored)
+            document = await self.reads.signed_document(stored)
             assert isinstance(document, Document), document
             read = join(document.parts)
             assert isinstance(read, Bundle), read
@@ -171,7 +171,7 @@
 
     async def roll_overtaken(
         self, operator: str, other: str, times: int
-    ) -> Rolled | RollError:
+    ) -> RollResult | RollError:
         """Roll with a lost answer; another rolls before it is read back."""
         present = self.store
 
@@ -180,14 +180,14 @@
             for number in range(times):
                 draft = await self.edit(other, 100.0 + number)
                 result = await self.roll(other, draft)
-                assert isinstance(result, Rolled), result
+                assert isinstance(result, RollResult), result
 
         self.store = OvertakenStore(self.service, HEADS, others)
         return await self.roll(operator, self.drafts[operator])
 
     async def roll_back(
         self, operator: str, number: int
-    ) -> Rolled | RollError:
+    ) -> RollResult | RollError:
         """Roll the bundle of an earlier roll, with its sign-offs."""
         now = await self.reads.head()
         assert isinstance(now, StoredHead), now
@@ -197,7 +197,9 @@
         key = self.keys[operator]
         return await self.writes.roll(order, now.head.version, key)
 
-    async def withdraw(self, operator: str, other: str) -> Rolled | RollError:
+    async def withdraw(
+        self, operator: str, other: str
+    ) -> RollResult | RollError:
         """Roll the bundle in force without one of its operators."""
         draft = await self.edit(operator, 5.0)
         kept = tuple(
@@ -206,7 +208,9 @@
         draft.bundle = msgspec.structs.replace(draft.bundle, operators=kept)
         return await self.roll(operator, draft)
 
-    async def roll(self, operator: str, draft: Draft) -> Rolled | RollError:
+    async def roll(
+        self, operator: str, draft: Draft
+    ) -> RollResult | RollError:
         """Sign a draft off and roll it."""
         order = self.order(operator, draft)
         return await self.writes.roll(order, draft.base, self.keys[operator])
@@ -266,7 +270,7 @@
                 and result.fault is RollFault.UNKNOWN
             ):
                 result = await self.roll(name, draft)
-            if isinstance(result, Rolled):
+            if isinstance(result, RollResult):
                 won += 1
                 race.won[result.number] = draft.nonce
                 continue
@@ -285,5 +289,5 @@
             if isinstance(document, RollError):
                 race.refused.append(document.message)
                 continue
-            guard.remember(document)
+            guard.record_trust(document)
             race.numbers_seen.append(document.head.version)
--- a/packages/bench/src/lacewing_bench/bundle_cost.py
+++ b/packages/bench/src/lacewing_bench/bundle_cost.py
@@ -16,8 +16,9 @@
 from lacewing_common.bundle import Service
 from lacewing_common.bundle import ServiceKind
 from lacewing_common.bundle import Team
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.bundles import contents_of_parts
+from lacewing_common.bundles import make_successor
 from lacewing_common.bundles import new_key
 from lacewing_common.bundles import OperatorKey
 from lacewing_common.bundles import Predecessor
@@ -26,7 +27,6 @@
 from lacewing_common.bundles import sign_off
 from lacewing_common.bundles import SignOffRole
 from lacewing_common.bundles import split
-from lacewing_common.bundles import succeed
 from lacewing_common.document import Document
 from lacewing_common.document_objects import encode_head
 from tabulate import tabulate
@@ -102,7 +102,7 @@
     key = new_key('ana')
     bundle = make_bundle(teams, key.public)
     first = _document(None, bundle, key)
-    guard = BundleGuard((key.public,))
+    guard = BundleValidator((key.public,))
     _accept(guard, first)
     rolls: list[float] = []
     last = first
@@ -113,7 +113,7 @@
         rolls.append(_time_ms(_accept, guard, last))
     cold: list[float] = []
     for _ in range(_RUNS):
-        cold.append(_time_ms(_accept, BundleGuard((key.public,)), last))
+        cold.append(_time_ms(_accept, BundleValidator((key.public,)), last))
     text = msgspec.json.encode(bundle)
     texts = [_time_ms(read_bundle_text, text) for _ in range(_RUNS)]
     changed = set(last.parts) - set(before.parts)
@@ -136,12 +136,12 @@
     )
 
 
-def _accept(guard: BundleGuard, document: Document) -> None:
+def _accept(guard: BundleValidator, document: Document) -> None:
     """Check, remember and read a document, as at each roll."""
     refusal = guard(document)
     if refusal is not None:
         raise ValueError(refusal.message)
-    guard.remember(document)
+    guard.record_trust(document)
     guard.assemble(document)
 
 
@@ -163,7 +163,7 @@
     before: Predecessor | None = None
     if previous is not None:
         before = Predecessor(previous.head, previous.parts[0])
-    made = succeed(before, order, key)
+    made = make_successor(before, order, key)
     if not isinstance(made, Document):
         raise ValueError(made.message)
     return made
--- a/packages/bench/src/lacewing_bench/capacity/_gossip.py
+++ b/packages/bench/src/lacewing_bench/capacity/_gossip.py
@@ -72,7 +72,7 @@
     began_s = time.process_time()
     for _ in range(_POLLS):
         for address in node.members.agent_addresses():
-            node.members.leaving(address)
+            node.members.is_leaving(address)
     return (time.process_time() - began_s) / _POLLS * 1e6
 
 
@@ -115,15 +115,15 @@
     # The records entered above count as news, told log(n) times each; a calm
     # fleet has some 800 changes a day and nothing to tell most of the time.
     for node in (caller, called):
-        while node._news.make_request().records:
+        while node._updates.make_request().records:
             pass
-    message = caller._news.make_request()
+    message = caller._updates.make_request()
     began_s = time.process_time()
     for _ in range(_CALLS):
         message = await _call(channels, server.address, caller)
     took_s = time.process_time() - began_s
     encode = msgspec.msgpack.encode
-    both = len(encode(caller._news.make_request())) + len(encode(message))
+    both = len(encode(caller._updates.make_request())) + len(encode(message))
     channels.close()
     server.stop()
     await server.wait_closed()
@@ -134,9 +134,9 @@
     channels: Channels, address: str, caller: PeerNode
 ) -> Exchange:
     answer = await channels.call(
-        address, EXCHANGE_METHOD, caller._news.make_request(), Exchange, 5.0
+        address, EXCHANGE_METHOD, caller._updates.make_request(), Exchange, 5.0
     )
     if isinstance(answer, NoReply):
         raise RuntimeError(answer.message)
-    caller._news.apply(answer)
+    caller._updates.apply(answer)
     return answer
--- a/packages/bench/src/lacewing_bench/capacity/_platform_rows.py
+++ b/packages/bench/src/lacewing_bench/capacity/_platform_rows.py
@@ -1,6 +1,6 @@
 """Work out the calls at the platform."""
 
-from lacewing_common.claim_key import RANGES
+from lacewing_common.claim_key import RANGE_COUNT
 from lacewing_daemon.claims import ClaimLimits
 
 from lacewing_bench.capacity._table import Row
@@ -54,7 +54,7 @@
 
 def platform_writes() -> tuple[Row, ...]:
     """Return the platform's writes a second, all processes together."""
-    claims = RANGES / ClaimLimits().pace_s
+    claims = RANGE_COUNT / ClaimLimits().pace_s
     return (
         Row(
             'rolls, archive and audit',
@@ -66,8 +66,8 @@
         Row(
             'claims',
             claims,
-            f'{RANGES} ranges / {ClaimLimits().pace_s} s, the bound of one'
-            f' service',
+            f'{RANGE_COUNT} ranges / {ClaimLimits().pace_s} s, the bound of'
+            f' one service',
             'claims-cost',
             'claims of one range in one update, paced',
         ),
--- a/packages/bench/src/lacewing_bench/claims_cost/__main__.py
+++ b/packages/bench/src/lacewing_bench/claims_cost/__main__.py
@@ -7,7 +7,7 @@
 
 import fire
 import msgspec
-from lacewing_common.claim_key import RANGES
+from lacewing_common.claim_key import RANGE_COUNT
 from lacewing_common.exits import Exit
 from lacewing_daemon.claims import ClaimLimits
 from tabulate import tabulate
@@ -48,7 +48,7 @@
         sys.exit(Exit.FAILED)
     report = Report(
         costs,
-        slopes(RANGES),
+        slopes(RANGE_COUNT),
         most_writes_per_s(ClaimLimits().pace_s),
     )
     _print(report.costs)
--- a/packages/bench/src/lacewing_bench/claims_cost/_measure.py
+++ b/packages/bench/src/lacewing_bench/claims_cost/_measure.py
@@ -7,7 +7,7 @@
 
 import msgspec
 from hdrh.histogram import HdrHistogram
-from lacewing_common.claim_key import RANGES
+from lacewing_common.claim_key import RANGE_COUNT
 from lacewing_daemon.claims._document import KIND
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPRequest
@@ -150,4 +150,4 @@
 
 def most_writes_per_s(pace_s: float) -> float:
     """Return the bound of one service's writes, all its ranges busy."""
-    return RANGES / pace_s
+    return RANGE_COUNT / pace_s
--- a/packages/bench/src/lacewing_bench/fake_runtime.py
+++ b/packages/bench/src/lacewing_bench/fake_runtime.py
@@ -49,7 +49,7 @@
         """Return ``ip:port`` of each agent not known to have left."""
         return self.addresses
 
-    def leaving(self, address: str) -> bool:
+    def is_leaving(self, address: str) -> bool:
         """Tell whether the platform says that an agent's VM is leaving."""
         return address in self.leaving_addresses
 
--- a/packages/bench/src/lacewing_bench/fleet/_roller.py
+++ b/packages/bench/src/lacewing_bench/fleet/_roller.py
@@ -5,7 +5,7 @@
 
 from lacewing_common.bundle import Bundle
 from lacewing_common.bundle import Operator
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.document import Document
 from lacewing_common.platform_client import PlatformClient
 from lacewing_common.rolls import BundleWrites
@@ -53,7 +53,7 @@
     def __init__(self, platform_url: str) -> None:
         self._platform = _CountingClient(platform_url)
         self._roller = new_roller()
-        guard = BundleGuard(self._roller.root_operators)
+        guard = BundleValidator(self._roller.root_operators)
         self._writes = BundleWrites(self._platform, guard)
         self._number = 0
 
--- a/packages/bench/src/lacewing_bench/oracle/_policy.py
+++ b/packages/bench/src/lacewing_bench/oracle/_policy.py
@@ -9,7 +9,7 @@
 import msgspec
 from lacewing_common.bundle import PolicyName
 from lacewing_common.identity import Place
-from lacewing_common.learnt import PrefillCost
+from lacewing_common.online_estimates import PrefillCost
 from lacewing_common.verdict import Refusal
 from lacewing_daemon.router._baselines import no_worker
 from lacewing_daemon.router._policy import CacheChange
@@ -107,7 +107,7 @@
         if wait_ms is None or observation.first_token_ms is None:
             return
         missed = cache.prompt_blocks - cache.hit_blocks
-        self._prefill.learn(
+        self._prefill.update(
             missed, max(0.0, observation.first_token_ms - wait_ms)
         )
 
--- a/packages/bench/src/lacewing_bench/rolling.py
+++ b/packages/bench/src/lacewing_bench/rolling.py
@@ -6,13 +6,13 @@
 from secrets import token_hex
 
 import msgspec
+from lacewing_common.audit import append_rolls
 from lacewing_common.audit import AuditLog
 from lacewing_common.audit import AuditReads
 from lacewing_common.audit import BUNDLE_TRAIL
-from lacewing_common.audit import enter_rolls
 from lacewing_common.bundle import Bundle
 from lacewing_common.bundle import Operator
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.bundles import contents_of_parts
 from lacewing_common.bundles import new_key
 from lacewing_common.bundles import OperatorKey
@@ -23,9 +23,9 @@
 from lacewing_common.platform_client import PlatformClient
 from lacewing_common.rolls import BundleReads
 from lacewing_common.rolls import BundleWrites
-from lacewing_common.rolls import Rolled
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
+from lacewing_common.rolls import RollResult
 from lacewing_common.rolls import StoredHead
 from lacewing_common.store import ObjectStore
 
@@ -45,9 +45,9 @@
 
     async def roll(
         self, store: ObjectStore, bundle: Bundle
-    ) -> Rolled | RollError:
+    ) -> RollResult | RollError:
         """Sign a bundle, roll it upon the one in force, enter it."""
-        guard = BundleGuard(self.root_operators)
+        guard = BundleValidator(self.root_operators)
         reads = BundleReads(store, guard)
         base = await reads.head()
         number = 0
@@ -60,12 +60,12 @@
         if isinstance(rolled, RollError):
             return rolled
         log = AuditLog(store, BUNDLE_TRAIL)
-        entered = await enter_rolls(log, AuditReads(store), reads)
+        entered = await append_rolls(log, AuditReads(store), reads)
         return entered if isinstance(entered, RollError) else rolled
 
     async def roll_at(
         self, platform_url: str, bundle: Bundle
-    ) -> Rolled | RollError:
+    ) -> RollResult | RollError:
         """Roll through a client of the platform's HTTP API."""
         client = PlatformClient(platform_url)
         try:
--- a/packages/common/src/lacewing_common/audit/__init__.py
+++ b/packages/common/src/lacewing_common/audit/__init__.py
@@ -8,10 +8,10 @@
 from lacewing_common.audit._log import AuditLog
 from lacewing_common.audit._log import CHUNK_ENTRIES
 from lacewing_common.audit._reads import AuditReads
-from lacewing_common.audit._reads import Trail
+from lacewing_common.audit._reads import AuditTrail
+from lacewing_common.audit._rolls import append_rolls
 from lacewing_common.audit._rolls import BUNDLE_TRAIL
 from lacewing_common.audit._rolls import compare_rolls
-from lacewing_common.audit._rolls import enter_rolls
 from lacewing_common.audit._rolls import record_of
 
 __all__ = [
@@ -24,8 +24,8 @@
     'AuditRecord',
     'BUNDLE_TRAIL',
     'CHUNK_ENTRIES',
-    'Trail',
+    'AuditTrail',
     'compare_rolls',
-    'enter_rolls',
+    'append_rolls',
     'record_of',
 ]
--- a/packages/common/src/lacewing_common/audit/_buffer.py
+++ b/packages/common/src/lacewing_common/audit/_buffer.py
@@ -40,7 +40,7 @@
         self._log = get_log(Part.AUDIT)
 
     @property
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """Return the number of records not written yet."""
         return len(self._waiting)
 
--- a/packages/common/src/lacewing_common/audit/_entries.py
+++ b/packages/common/src/lacewing_common/audit/_entries.py
@@ -63,7 +63,7 @@
     entries: tuple[AuditEntry, ...] = ()
 
 
-EMPTY = Chunk()
+EMPTY_CHUNK = Chunk()
 
 
 def encode_chunk(chunk: Chunk) -> bytes:
@@ -79,7 +79,7 @@
         return None
 
 
-def extend(chunk: Chunk, records: tuple[AuditRecord, ...]) -> Chunk:
+def append_entries(chunk: Chunk, records: tuple[AuditRecord, ...]) -> Chunk:
     """Return the chunk with records added at its end."""
     entries = list(chunk.entries)
     count = chunk.count
--- a/packages/common/src/lacewing_common/audit/_log.py
+++ b/packages/common/src/lacewing_common/audit/_log.py
@@ -4,18 +4,18 @@
 from dataclasses import dataclass
 from random import Random
 
+from lacewing_common.audit._entries import append_entries
 from lacewing_common.audit._entries import AuditRecord
 from lacewing_common.audit._entries import Chunk
 from lacewing_common.audit._entries import decode_chunk
-from lacewing_common.audit._entries import EMPTY
+from lacewing_common.audit._entries import EMPTY_CHUNK
 from lacewing_common.audit._entries import encode_chunk
-from lacewing_common.audit._entries import extend
 from lacewing_common.backoff import Backoff
 from lacewing_common.document import part_digest
 from lacewing_common.document_objects import PARTS
-from lacewing_common.patience import Patience
-from lacewing_common.patience import patiently
-from lacewing_common.patience import put_part
+from lacewing_common.retries import call_with_retries
+from lacewing_common.retries import put_part
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.store import MUST_NOT_EXIST
 from lacewing_common.store import ObjectStore
 from lacewing_common.store import StoredObject
@@ -44,12 +44,12 @@
         self,
         store: ObjectStore,
         name: str,
-        patience: Patience | None = None,
+        patience: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
         self._name = name
-        self._patience = patience or Patience()
+        self._patience = patience or RetryPolicy()
         self._random = random or Random()
 
     async def append(
@@ -96,14 +96,14 @@
             await asyncio.sleep(backoff.next_s())
 
     async def _read(self) -> _Read | StoreError:
-        stored = await patiently(
+        stored = await call_with_retries(
             lambda: self._store.get(AUDIT, self._name),
             self._patience,
             self._random,
         )
         if isinstance(stored, StoreError):
             if stored.fault is StoreFault.NOT_FOUND:
-                return _Read(EMPTY, MUST_NOT_EXIST)
+                return _Read(EMPTY_CHUNK, MUST_NOT_EXIST)
             return stored
         chunk = decode_chunk(stored.value)
         if chunk is None:
@@ -122,11 +122,11 @@
         room = await self._make_room(read.chunk)
         if isinstance(room, StoreError):
             return room
-        return await self._put(extend(room, missing), read.version)
+        return await self._put(append_entries(room, missing), read.version)
 
     async def _put(self, chunk: Chunk, expect: int) -> None | StoreError:
         value = encode_chunk(chunk)
-        answer = await patiently(
+        answer = await call_with_retries(
             lambda: self._store.put(AUDIT, self._name, value, expect),
             self._patience,
             self._random,
@@ -159,7 +159,7 @@
         return known
 
     async def _archived(self, digest: str) -> StoredObject | StoreError:
-        return await patiently(
+        return await call_with_retries(
             lambda: self._store.get(PARTS, digest),
             self._patience,
             self._random,
--- a/packages/common/src/lacewing_common/audit/_reads.py
+++ b/packages/common/src/lacewing_common/audit/_reads.py
@@ -10,8 +10,8 @@
 from lacewing_common.audit._log import AUDIT
 from lacewing_common.document import part_digest
 from lacewing_common.document_objects import PARTS
-from lacewing_common.patience import Patience
-from lacewing_common.patience import patiently
+from lacewing_common.retries import call_with_retries
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.store import ObjectStore
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
@@ -19,16 +19,16 @@
 
 
 @dataclass(frozen=True)
-class Trail:
+class AuditTrail:
     """Hold entries of a trail, oldest first, and what is wrong with them.
 
-    ``whole`` tells whether they begin with the first entry of the trail.
+    ``is_complete`` tells whether they begin with the first entry of the trail.
     """
 
     name: str
     entries: tuple[AuditEntry, ...]
     faults: tuple[str, ...]
-    whole: bool
+    is_complete: bool
 
 
 class AuditReads:
@@ -37,16 +37,16 @@
     def __init__(
         self,
         store: ObjectStore,
-        patience: Patience | None = None,
+        patience: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
-        self._patience = patience or Patience()
+        self._patience = patience or RetryPolicy()
         self._random = random or Random()
 
     async def names(self) -> tuple[str, ...] | StoreError:
         """Return the names of all trails."""
-        rows = await patiently(
+        rows = await call_with_retries(
             lambda: self._store.list_names(AUDIT),
             self._patience,
             self._random,
@@ -55,12 +55,12 @@
             return rows
         return tuple(row.name for row in rows)
 
-    async def trail(self, name: str, limit: int) -> Trail | StoreError:
+    async def trail(self, name: str, limit: int) -> AuditTrail | StoreError:
         """Read and verify at least the last ``limit`` entries, 0: all."""
         stored = await self._get(AUDIT, name)
         if isinstance(stored, StoreError):
             if stored.fault is StoreFault.NOT_FOUND:
-                return Trail(name, (), (), True)
+                return AuditTrail(name, (), (), True)
             return stored
         chunks: list[Chunk] = []
         faults: list[str] = []
@@ -79,7 +79,7 @@
         faults.extend(_check(chunks))
         entries = tuple(_entries(chunks))
         whole = bool(chunks) and not chunks[0].archived
-        return Trail(name, entries, tuple(faults), whole)
+        return AuditTrail(name, entries, tuple(faults), whole)
 
     async def _archived(self, digest: str, faults: list[str]) -> bytes | None:
         stored = await self._get(PARTS, digest)
@@ -92,7 +92,7 @@
         return stored.value
 
     async def _get(self, kind: str, name: str) -> StoredObject | StoreError:
-        return await patiently(
+        return await call_with_retries(
             lambda: self._store.get(kind, name), self._patience, self._random
         )
 
--- a/packages/common/src/lacewing_common/audit/_rolls.py
+++ b/packages/common/src/lacewing_common/audit/_rolls.py
@@ -36,7 +36,7 @@
     )
 
 
-async def enter_rolls(
+async def append_rolls(
     log: AuditLog, trails: AuditReads, bundles: BundleReads
 ) -> int | RollError:
     """Enter the last rolls that are not entered; return how many.
@@ -71,7 +71,7 @@
         for entry in trail.entries:
             if _is_roll(entry.record):
                 known.add(entry.record.record_id)
-        if known or trail.whole:
+        if known or trail.is_complete:
             return known
         limit = len(trail.entries) + 1
 
--- a/packages/common/src/lacewing_common/bundles/__init__.py
+++ b/packages/common/src/lacewing_common/bundles/__init__.py
@@ -2,8 +2,6 @@
 
 from lacewing_common.bundles._assemble import assemble
 from lacewing_common.bundles._check import check_bundle
-from lacewing_common.bundles._guard import BUNDLE
-from lacewing_common.bundles._guard import BundleGuard
 from lacewing_common.bundles._parts import canonical
 from lacewing_common.bundles._parts import Contents
 from lacewing_common.bundles._parts import contents_of
@@ -23,14 +21,16 @@
 from lacewing_common.bundles._signatures import OperatorKey
 from lacewing_common.bundles._signatures import read_key
 from lacewing_common.bundles._signatures import write_key
-from lacewing_common.bundles._succeed import head_digest
-from lacewing_common.bundles._succeed import Predecessor
-from lacewing_common.bundles._succeed import RollOrder
-from lacewing_common.bundles._succeed import succeed
+from lacewing_common.bundles._successor import head_digest
+from lacewing_common.bundles._successor import make_successor
+from lacewing_common.bundles._successor import Predecessor
+from lacewing_common.bundles._successor import RollOrder
+from lacewing_common.bundles._validator import BUNDLE
+from lacewing_common.bundles._validator import BundleValidator
 
 __all__ = [
     'BUNDLE',
-    'BundleGuard',
+    'BundleValidator',
     'Contents',
     'OperatorKey',
     'Predecessor',
@@ -54,6 +54,6 @@
     'read_trust',
     'sign_off',
     'split',
-    'succeed',
+    'make_successor',
     'write_key',
 ]
--- a/packages/common/src/lacewing_common/bundles/_succeed.py
+++ b/packages/common/src/lacewing_common/bundles/_successor.py
@@ -2,7 +2,6 @@
 
 from dataclasses import dataclass
 
-from lacewing_common.bundles._guard import BUNDLE
 from lacewing_common.bundles._parts import contents_of_parts
 from lacewing_common.bundles._proof import encode_proof
 from lacewing_common.bundles._proof import links_after
@@ -13,6 +12,7 @@
 from lacewing_common.bundles._sign_off import sign_roll
 from lacewing_common.bundles._sign_off import SignOff
 from lacewing_common.bundles._signatures import OperatorKey
+from lacewing_common.bundles._validator import BUNDLE
 from lacewing_common.document import Document
 from lacewing_common.document import DocumentHead
 from lacewing_common.document import part_digest
@@ -55,7 +55,7 @@
     trust: bytes
 
 
-def succeed(
+def make_successor(
     previous: Predecessor | None, order: RollOrder, key: OperatorKey
 ) -> Document | Refusal:
     """Make the document of an order, with a higher number, signed."""
--- a/packages/common/src/lacewing_common/bundles/_guard.py
+++ b/packages/common/src/lacewing_common/bundles/_validator.py
@@ -21,7 +21,7 @@
 BUNDLE = DocumentName(DocumentKind.BUNDLE, 'bundle')
 
 
-class BundleGuard:
+class BundleValidator:
     """Be the ``DocumentGuard`` of bundles.
 
     ``remember`` belongs in the ``on_change`` of the documents. Without it a
@@ -70,7 +70,7 @@
             return bundle
         return RolledBundle(document.head.version, contents.digest, bundle)
 
-    def remember(self, document: Document) -> None:
+    def record_trust(self, document: Document) -> None:
         """Keep the last change of operators of a bundle now in force."""
         links = links_after(document.head, document.parts[0])
         if isinstance(links, Refusal) or document.head.version < self._number:
--- a/packages/common/src/lacewing_common/claim_key.py
+++ b/packages/common/src/lacewing_common/claim_key.py
@@ -5,7 +5,7 @@
 # Claims of one range share one object of the platform. More ranges make
 # the objects smaller and the writes more; docs/explanation/at-most-once.md
 # has the arithmetic. A change orphans every claim that stands.
-RANGES = 64
+RANGE_COUNT = 64
 
 _DIGEST_BYTES = 16
 _RANGE_BYTES = 4
@@ -24,7 +24,7 @@
 
 def range_of(key: bytes) -> int:
     """Return the range of a claim's key, from 0 on."""
-    return int.from_bytes(key[:_RANGE_BYTES], 'big') % RANGES
+    return int.from_bytes(key[:_RANGE_BYTES], 'big') % RANGE_COUNT
 
 
 def range_point(service: str, number: int) -> bytes:
--- a/packages/common/src/lacewing_common/curl.py
+++ b/packages/common/src/lacewing_common/curl.py
@@ -18,7 +18,7 @@
         if self._timeout is not None:
             self.io_loop.remove_timeout(self._timeout)
 
-    def give_up(self, request: HTTPRequest, message: str) -> None:
+    def abort(self, request: HTTPRequest, message: str) -> None:
         """End a call that is under way, as if its time were over.
 
         Its connection is closed and its handle is free at once. libcurl's
--- a/packages/common/src/lacewing_common/document.py
+++ b/packages/common/src/lacewing_common/document.py
@@ -55,14 +55,14 @@
     return sha256(part).hexdigest()
 
 
-class DocumentGuard(Protocol):
+class DocumentValidator(Protocol):
     """Check a document before a process uses it or offers it to a peer."""
 
     def __call__(self, document: Document) -> Refusal | None:
         """Return why the document is not acceptable, or None."""
 
 
-class DocumentReads(Protocol):
+class DocumentReader(Protocol):
     """Query the documents that this process holds."""
 
     def heads(self) -> tuple[DocumentHead, ...]:
@@ -78,7 +78,7 @@
         """Return the digests of a head's parts that are not held."""
 
 
-class DocumentWrites(Protocol):
+class DocumentWriter(Protocol):
     """Change the documents that this process holds."""
 
     def accept(
@@ -92,5 +92,5 @@
         """Call back after each accepted version of a kind."""
 
 
-class Documents(DocumentReads, DocumentWrites, Protocol):
+class DocumentStore(DocumentReader, DocumentWriter, Protocol):
     """Hold the replicas of one process."""
--- a/packages/common/src/lacewing_common/log.py
+++ b/packages/common/src/lacewing_common/log.py
@@ -50,7 +50,7 @@
     return _outputs[0]
 
 
-def end_logs() -> None:
+def close_logs() -> None:
     """Have the last lines written before the process ends at once."""
     for output in _outputs:
         output.end()
--- a/packages/common/src/lacewing_common/learnt.py
+++ b/packages/common/src/lacewing_common/online_estimates.py
@@ -37,7 +37,7 @@
         """Return the milliseconds to first token without any block."""
         return self._base_ms
 
-    def learn(self, blocks: float, first_token_ms: float) -> None:
+    def update(self, blocks: float, first_token_ms: float) -> None:
         """Take one request's computed blocks and time without its wait."""
         self._add(blocks, first_token_ms)
         spread = self._count * self._squares - self._blocks**2
@@ -56,7 +56,7 @@
         self._products = self._products * _DECAY + blocks * first_token_ms
 
 
-class Chance:
+class RateEstimate:
     """Learn how often something comes true."""
 
     def __init__(self, first: float = _FIRST_CHANCE) -> None:
@@ -67,6 +67,6 @@
         """Return the expected share."""
         return self._value
 
-    def learn(self, share: float) -> None:
+    def update(self, share: float) -> None:
         """Take one outcome between 0 and 1."""
         self._value += _GAIN * (share - self._value)
--- a/packages/common/src/lacewing_common/plan.py
+++ b/packages/common/src/lacewing_common/plan.py
@@ -116,7 +116,7 @@
     return plan
 
 
-def guard_plan(document: Document) -> Refusal | None:
+def validate_plan(document: Document) -> Refusal | None:
     """Check a plan's document; replicas see to it that versions grow."""
     plan = read_plan(document)
     return plan if isinstance(plan, Refusal) else None
--- a/packages/common/src/lacewing_common/platform_client.py
+++ b/packages/common/src/lacewing_common/platform_client.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from lacewing_common.backoff import Backoff
-from lacewing_common.platform_http import Answer
-from lacewing_common.platform_http import Call
-from lacewing_common.platform_http import HttpCaller
-from lacewing_common.platform_http import NoAnswer
+from lacewing_common.platform_http import HttpAnswer
+from lacewing_common.platform_http import HttpCall
+from lacewing_common.platform_http import HttpClient
+from lacewing_common.platform_http import NoHttpAnswer
 from lacewing_common.store import MUST_NOT_EXIST
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
@@ -179,8 +179,8 @@
         wait_s = self._options.watch_wait_s
         path = f'{_object_path(kind, name)}?watch={after}&wait_s={wait_s}'
         timeout_s = wait_s + self._options.request_timeout_s
-        answer = await self._watches.call(Call('GET', path, timeout_s))
-        if isinstance(answer, NoAnswer):
+        answer = await self._watches.call(HttpCall('GET', path, timeout_s))
+        if isinstance(answer, NoHttpAnswer):
             return _lost(StoreFault.UNAVAILABLE, answer)
         if answer.status == 304:
             return None
@@ -199,20 +199,20 @@
         path: str,
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
-    ) -> Answer | StoreError:
+    ) -> HttpAnswer | StoreError:
         timeout_s = self._options.request_timeout_s
-        call = Call(method, path, timeout_s, headers or {}, body)
+        call = HttpCall(method, path, timeout_s, headers or {}, body)
         answer = await self._calls.call(call)
-        if isinstance(answer, Answer):
+        if isinstance(answer, HttpAnswer):
             if answer.status == 200:
                 return answer
             return _error(answer, call.is_read)
-        if call.is_read or not answer.sent:
+        if call.is_read or not answer.may_be_sent:
             return _lost(StoreFault.UNAVAILABLE, answer)
         return _lost(StoreFault.UNKNOWN, answer)
 
-    def _caller(self, base_url: str, at_once: int) -> HttpCaller:
-        return HttpCaller(
+    def _caller(self, base_url: str, at_once: int) -> HttpClient:
+        return HttpClient(
             base_url,
             at_once,
             self._options.connect_timeout_s,
@@ -231,23 +231,25 @@
     return {'If-Match': f'"{expect}"'}
 
 
-def _version(answer: Answer) -> int | None:
+def _version(answer: HttpAnswer) -> int | None:
     text = answer.headers.get('Etag', '').strip('"')
     return int(text) if text.isdigit() else None
 
 
-def _stored(kind: str, name: str, answer: Answer) -> StoredObject | StoreError:
+def _stored(
+    kind: str, name: str, answer: HttpAnswer
+) -> StoredObject | StoreError:
     version = _version(answer)
     if version is None:
         return _malformed(f'an ETag with the version of {kind}/{name}')
     return StoredObject(kind, name, version, answer.body)
 
 
-def _lost(fault: StoreFault, answer: NoAnswer) -> StoreError:
+def _lost(fault: StoreFault, answer: NoHttpAnswer) -> StoreError:
     return StoreError(fault, answer.message, received=answer.received)
 
 
-def _error(answer: Answer, is_read: bool) -> StoreError:
+def _error(answer: HttpAnswer, is_read: bool) -> StoreError:
     fault = _FAULTS.get(answer.status)
     if fault is None and 400 <= answer.status < 500:
         fault = StoreFault.REJECTED
@@ -258,7 +260,7 @@
     return StoreError(fault, message, _retry_after_s(answer))
 
 
-def _retry_after_s(answer: Answer) -> float | None:
+def _retry_after_s(answer: HttpAnswer) -> float | None:
     text = answer.headers.get('Retry-After', '')
     return float(text) if text.isdigit() else None
 
--- a/packages/common/src/lacewing_common/platform_http.py
+++ b/packages/common/src/lacewing_common/platform_http.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Call:
+class HttpCall:
     """Hold one HTTP call.
 
     ``timeout_s`` bounds the wait for the answer to begin, from connect on.
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class HttpAnswer:
     """Hold an HTTP answer; ``took_s`` is the time that its body took."""
 
     status: int
@@ -68,13 +68,14 @@
 
 
 @dataclass(frozen=True)
-class NoAnswer:
-    """Report that no whole answer came; ``sent`` is false only when sure.
+class NoHttpAnswer:
+    """Report that no whole answer came.
 
+    ``may_be_sent``: false only when the call was surely not sent.
     ``received``: bytes of the body that had come.
     """
 
-    sent: bool
+    may_be_sent: bool
     message: str
     received: int = 0
 
@@ -220,10 +221,10 @@
         message = 'the answer did not begin in time'
         if self._pieces:
             message = f'the answer stopped after {self._received} bytes'
-        self._client.give_up(self._request, message)
+        self._client.abort(self._request, message)
 
 
-class HttpCaller:
+class HttpClient:
     """Make a bounded number of calls at once to one base URL.
 
     ``silence_s``: an answer that has begun is given up after a silence of
@@ -245,13 +246,13 @@
         self._slots = asyncio.Semaphore(at_once)
         self._client = _CurlClient(force_instance=True, max_clients=at_once)
 
-    async def call(self, call: Call) -> Answer | NoAnswer:
+    async def call(self, call: HttpCall) -> HttpAnswer | NoHttpAnswer:
         """Make one call; cancelling it leaves a write's effect unknown."""
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 await self._slots.acquire()
         except TimeoutError:
-            return NoAnswer(False, 'too many calls to the platform wait')
+            return NoHttpAnswer(False, 'too many calls to the platform wait')
         body_s = len(call.body or b'') / SLOWEST_SENT_BYTES_S
         transfer = _Transfer(
             self._client,
@@ -269,8 +270,10 @@
         try:
             response = await asyncio.shield(fetch)
         except CurlError as error:
-            return NoAnswer(_may_be_sent(error), str(error), transfer.received)
-        return Answer(
+            return NoHttpAnswer(
+                _may_be_sent(error), str(error), transfer.received
+            )
+        return HttpAnswer(
             response.code,
             dict(response.headers),
             transfer.body,
@@ -281,7 +284,7 @@
         """Close all connections; calls under way never return."""
         self._client.close()
 
-    def _request(self, call: Call, transfer: _Transfer) -> HTTPRequest:
+    def _request(self, call: HttpCall, transfer: _Transfer) -> HTTPRequest:
         prepare = _prepare_read if call.is_read else _prepare_write
         return HTTPRequest(
             self._base_url + call.path,
--- a/packages/common/src/lacewing_common/put_resolving.py
+++ b/packages/common/src/lacewing_common/resolved_put.py
@@ -21,7 +21,7 @@
     backoff_cap_s: float = 1.0
 
 
-async def put_resolving(
+async def put_with_resolution(
     store: SingleObjects,
     kind: str,
     name: str,
--- a/packages/common/src/lacewing_common/patience.py
+++ b/packages/common/src/lacewing_common/retries.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Patience:
+class RetryPolicy:
     """Bound how long a call is repeated, in seconds."""
 
     give_up_after_s: float = 30.0
@@ -27,15 +27,15 @@
     backoff_cap_s: float = 2.0
 
 
-async def patiently(
+async def call_with_retries(
     call: Callable[[], Awaitable[T | StoreError]],
-    patience: Patience,
+    policy: RetryPolicy,
     random: Random,
 ) -> T | StoreError:
     """Repeat a call while the platform is limited or unavailable."""
-    backoff = Backoff(patience.backoff_base_s, patience.backoff_cap_s, random)
+    backoff = Backoff(policy.backoff_base_s, policy.backoff_cap_s, random)
     loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + patience.give_up_after_s
+    give_up_at = loop.time() + policy.give_up_after_s
     while True:
         answer = await call()
         if not isinstance(answer, StoreError):
@@ -50,7 +50,7 @@
     kind: str,
     digest: str,
     part: bytes,
-    patience: Patience,
+    policy: RetryPolicy,
     random: Random,
 ) -> None | StoreError:
     """Write an immutable part; one that exists is the same part.
@@ -59,13 +59,13 @@
     reading back: the write is repeated and meets its own part.
     """
     loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + patience.give_up_after_s
+    give_up_at = loop.time() + policy.give_up_after_s
 
     async def put() -> StoredObject | StoreError:
         return await store.put(kind, digest, part, MUST_NOT_EXIST)
 
     while True:
-        answer = await patiently(put, patience, random)
+        answer = await call_with_retries(put, policy, random)
         if isinstance(answer, StoredObject):
             return None
         if answer.fault is StoreFault.CONFLICT:
--- a/packages/common/src/lacewing_common/rolls/__init__.py
+++ b/packages/common/src/lacewing_common/rolls/__init__.py
@@ -9,7 +9,7 @@
 from lacewing_common.rolls._reads import StoredHead
 from lacewing_common.rolls._rollback import make_rollback
 from lacewing_common.rolls._writes import BundleWrites
-from lacewing_common.rolls._writes import Rolled
+from lacewing_common.rolls._writes import RollResult
 
 __all__ = [
     'BundleReads',
@@ -18,7 +18,7 @@
     'HistoryEntry',
     'RollError',
     'RollFault',
-    'Rolled',
+    'RollResult',
     'StoredHead',
     'diff_bundles',
     'make_rollback',
--- a/packages/common/src/lacewing_common/rolls/_errors.py
+++ b/packages/common/src/lacewing_common/rolls/_errors.py
@@ -29,7 +29,7 @@
     message: str
 
 
-def from_store(error: StoreError, what: str) -> RollError:
+def roll_error_from(error: StoreError, what: str) -> RollError:
     """Report a read or an ineffective write that the platform failed."""
     fault = RollFault.UNAVAILABLE
     if error.fault is StoreFault.NOT_FOUND:
--- a/packages/common/src/lacewing_common/rolls/_parts.py
+++ b/packages/common/src/lacewing_common/rolls/_parts.py
@@ -5,9 +5,9 @@
 from random import Random
 
 from lacewing_common.document_objects import PARTS
-from lacewing_common.patience import Patience
-from lacewing_common.patience import patiently
-from lacewing_common.patience import put_part
+from lacewing_common.retries import call_with_retries
+from lacewing_common.retries import put_part
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.store import ObjectStore
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
@@ -16,11 +16,11 @@
 _CALLS_AT_ONCE = 16
 
 
-class PartWrites:
+class PartWriter:
     """Write immutable parts by their digest."""
 
     def __init__(
-        self, store: ObjectStore, patience: Patience, random: Random
+        self, store: ObjectStore, patience: RetryPolicy, random: Random
     ) -> None:
         self._store = store
         self._patience = patience
@@ -35,7 +35,7 @@
                 return error
         return None
 
-    async def mend(self, parts: Mapping[str, bytes]) -> StoreError | None:
+    async def repair(self, parts: Mapping[str, bytes]) -> StoreError | None:
         """Write what is missing, or changed, of parts rolled before.
 
         The next head names them again. Were they taken to be there, a roll
@@ -51,7 +51,7 @@
 
     async def _mend(self, digest: str, part: bytes) -> StoreError | None:
         async with self._slots:
-            stored = await patiently(
+            stored = await call_with_retries(
                 lambda: self._store.get(PARTS, digest),
                 self._patience,
                 self._random,
@@ -67,7 +67,7 @@
     async def _replace(
         self, stored: StoredObject, part: bytes
     ) -> StoreError | None:
-        answer = await patiently(
+        answer = await call_with_retries(
             lambda: self._store.put(PARTS, stored.name, part, stored.version),
             self._patience,
             self._random,
--- a/packages/common/src/lacewing_common/rolls/_reads.py
+++ b/packages/common/src/lacewing_common/rolls/_reads.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lacewing_common.bundles import BUNDLE
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.bundles import Proof
 from lacewing_common.bundles import read_proof
 from lacewing_common.document import Document
@@ -18,9 +18,9 @@
 from lacewing_common.document_objects import head_object
 from lacewing_common.document_objects import HEADS
 from lacewing_common.document_objects import PARTS
-from lacewing_common.patience import Patience
-from lacewing_common.patience import patiently
-from lacewing_common.rolls._errors import from_store
+from lacewing_common.retries import call_with_retries
+from lacewing_common.retries import RetryPolicy
+from lacewing_common.rolls._errors import roll_error_from
 from lacewing_common.rolls._errors import RollError
 from lacewing_common.rolls._errors import RollFault
 from lacewing_common.store import ObjectStore
@@ -74,13 +74,13 @@
     def __init__(
         self,
         store: ObjectStore,
-        guard: BundleGuard,
-        patience: Patience | None = None,
+        guard: BundleValidator,
+        patience: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
         self._guard = guard
-        self._patience = patience or Patience()
+        self._patience = patience or RetryPolicy()
         self._random = random or Random()
         self._slots = asyncio.Semaphore(_READS_AT_ONCE)
 
@@ -94,7 +94,7 @@
         if isinstance(stored, StoreError):
             if stored.fault is StoreFault.NOT_FOUND:
                 return RollError(RollFault.NOT_FOUND, _NO_HEAD)
-            return from_store(stored, 'the head of the bundle')
+            return roll_error_from(stored, 'the head of the bundle')
         read = _read_head(stored.value, stored.version)
         if isinstance(read, RollError):
             return read
@@ -105,7 +105,7 @@
 
     async def document(self, stored: StoredHead) -> Document | RollError:
         """Read the parts of a head and check the whole."""
-        document = await self.signed(stored)
+        document = await self.signed_document(stored)
         if isinstance(document, RollError):
             return document
         refusal = self._guard(document)
@@ -113,7 +113,9 @@
             return RollError(RollFault.REFUSED, refusal.message)
         return document
 
-    async def signed(self, stored: StoredHead) -> Document | RollError:
+    async def signed_document(
+        self, stored: StoredHead
+    ) -> Document | RollError:
         """Read the parts of a head and check the signatures alone.
 
         For operators who replace a bundle with problems, such as one that
@@ -152,7 +154,7 @@
                 return RollError(
                     RollFault.NOT_FOUND, f'there is no roll {number}'
                 )
-            stored = await self.before(stored)
+            stored = await self.previous_head(stored)
         return stored
 
     async def head_after(self, number: int) -> StoredHead | RollError:
@@ -166,7 +168,7 @@
             found = stored
             if not stored.proof.roll.previous:
                 break
-            stored = await self.before(stored)
+            stored = await self.previous_head(stored)
         if isinstance(stored, RollError):
             return stored
         if found is None:
@@ -175,7 +177,9 @@
             )
         return found
 
-    async def before(self, stored: StoredHead) -> StoredHead | RollError:
+    async def previous_head(
+        self, stored: StoredHead
+    ) -> StoredHead | RollError:
         """Read the head that a head replaced."""
         value = await self._part(stored.proof.roll.previous)
         if isinstance(value, RollError):
@@ -193,7 +197,7 @@
             yield _entry(stored)
             if not stored.proof.roll.previous:
                 return
-            stored = await self.before(stored)
+            stored = await self.previous_head(stored)
         yield stored
 
     async def history(
@@ -212,7 +216,7 @@
     async def _part(self, digest: str) -> bytes | RollError:
         stored = await self._get(PARTS, digest)
         if isinstance(stored, StoreError):
-            return from_store(stored, f'part {digest}')
+            return roll_error_from(stored, f'part {digest}')
         if part_digest(stored.value) != digest:
             return RollError(
                 RollFault.REFUSED, f'the part {digest} was tampered with'
@@ -221,7 +225,7 @@
 
     async def _get(self, kind: str, name: str) -> StoredObject | StoreError:
         async with self._slots:
-            return await patiently(
+            return await call_with_retries(
                 lambda: self._store.get(kind, name),
                 self._patience,
                 self._random,
--- a/packages/common/src/lacewing_common/rolls/_writes.py
+++ b/packages/common/src/lacewing_common/rolls/_writes.py
@@ -3,24 +3,24 @@
 from dataclasses import dataclass
 from random import Random
 
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.bundles import join
+from lacewing_common.bundles import make_successor
 from lacewing_common.bundles import OperatorKey
 from lacewing_common.bundles import Predecessor
 from lacewing_common.bundles import RollOrder
-from lacewing_common.bundles import succeed
 from lacewing_common.document import Document
 from lacewing_common.document_objects import encode_head
 from lacewing_common.document_objects import HEADS
-from lacewing_common.patience import Patience
-from lacewing_common.patience import patiently
-from lacewing_common.put_resolving import put_resolving
-from lacewing_common.put_resolving import ResolvePolicy
+from lacewing_common.resolved_put import put_with_resolution
+from lacewing_common.resolved_put import ResolvePolicy
+from lacewing_common.retries import call_with_retries
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.rolls._diff import diff_bundles
-from lacewing_common.rolls._errors import from_store
+from lacewing_common.rolls._errors import roll_error_from
 from lacewing_common.rolls._errors import RollError
 from lacewing_common.rolls._errors import RollFault
-from lacewing_common.rolls._parts import PartWrites
+from lacewing_common.rolls._parts import PartWriter
 from lacewing_common.rolls._reads import BundleReads
 from lacewing_common.rolls._reads import HEAD_NAME
 from lacewing_common.rolls._reads import StoredHead
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Rolled:
+class RollResult:
     """Report a roll in force; ``written`` counts the new parts.
 
     ``document`` is None when an earlier try had taken effect.
@@ -52,20 +52,20 @@
     def __init__(
         self,
         store: ObjectStore,
-        guard: BundleGuard,
-        patience: Patience | None = None,
+        guard: BundleValidator,
+        patience: RetryPolicy | None = None,
         random: Random | None = None,
     ) -> None:
         self._store = store
         self._guard = guard
-        self._patience = patience or Patience()
+        self._patience = patience or RetryPolicy()
         self._random = random or Random()
         self._reads = BundleReads(store, guard, patience, random)
-        self._parts = PartWrites(store, self._patience, self._random)
+        self._parts = PartWriter(store, self._patience, self._random)
 
     async def roll(
         self, order: RollOrder, base: int, key: OperatorKey
-    ) -> Rolled | RollError:
+    ) -> RollResult | RollError:
         """Roll an order made from the bundle of roll ``base``, 0: none.
 
         The same order may be rolled again after UNKNOWN or a crash: it is
@@ -82,7 +82,7 @@
             if isinstance(trust, RollError):
                 return trust
             previous = Predecessor(stored.head, trust)
-        document = succeed(previous, order, key)
+        document = make_successor(previous, order, key)
         if isinstance(document, Refusal):
             return RollError(RollFault.REFUSED, document.message)
         refusal = self._guard(document)
@@ -124,9 +124,9 @@
             wanted[stored.digest] = stored.value
         error = await self._parts.write(wanted)
         if error is None:
-            error = await self._parts.mend(shared)
+            error = await self._parts.repair(shared)
         if error is not None:
-            return from_store(error, 'the parts of the bundle')
+            return roll_error_from(error, 'the parts of the bundle')
         return len(wanted)
 
     async def _write_head(
@@ -135,7 +135,7 @@
         order: RollOrder,
         stored: StoredHead | None,
         written: int,
-    ) -> Rolled | RollError:
+    ) -> RollResult | RollError:
         expect = MUST_NOT_EXIST if stored is None else stored.version
         value = encode_head(document.head)
         policy = ResolvePolicy(
@@ -143,8 +143,8 @@
             self._patience.backoff_base_s,
             self._patience.backoff_cap_s,
         )
-        answer = await patiently(
-            lambda: put_resolving(
+        answer = await call_with_retries(
+            lambda: put_with_resolution(
                 self._store,
                 HEADS,
                 HEAD_NAME,
@@ -158,9 +158,9 @@
         )
         number = document.head.version
         if not isinstance(answer, StoreError):
-            return Rolled(number, order.digest, written, document)
+            return RollResult(number, order.digest, written, document)
         if answer.fault not in (StoreFault.CONFLICT, StoreFault.UNKNOWN):
-            return from_store(answer, 'the head of the bundle')
+            return roll_error_from(answer, 'the head of the bundle')
         now = await self._reads.head()
         if isinstance(now, RollError) or now.head.version < number:
             return RollError(
@@ -173,7 +173,7 @@
 
     async def _lost_or_done(
         self, order: RollOrder, base: int, now: StoredHead
-    ) -> Rolled | RollError:
+    ) -> RollResult | RollError:
         """Find out whose the roll after ``base`` is.
 
         One head alone replaced that of ``base``, so that its nonce decides
@@ -190,7 +190,7 @@
             return RollError(RollFault.UNKNOWN, next_head.message)
         roll = next_head.proof.roll
         if roll.nonce == order.nonce and roll.digest == order.digest:
-            return Rolled(roll.number, order.digest, 0)
+            return RollResult(roll.number, order.digest, 0)
         return await self._conflict(order, base, now)
 
     async def _conflict(
@@ -201,7 +201,7 @@
             f'roll {roll.number} by {roll.operator!r} at {roll.at} is in'
             f' force; this bundle was edited from roll {base}'
         )
-        theirs = await self._reads.signed(now)
+        theirs = await self._reads.signed_document(now)
         if isinstance(theirs, RollError):
             return RollError(RollFault.CONFLICT, opening)
         their_bundle = join(theirs.parts)
--- a/packages/common/src/lacewing_common/tls.py
+++ b/packages/common/src/lacewing_common/tls.py
@@ -72,7 +72,7 @@
     return context
 
 
-def bound_tls_buffers() -> None:
+def limit_tls_buffers() -> None:
     """Keep asyncio's read buffer of a TLS connection to one record.
 
     It would be 256 KiB for each connection of this process, in use or not:
--- a/packages/ctl/src/lacewing_ctl/_causes.py
+++ b/packages/ctl/src/lacewing_ctl/_causes.py
@@ -6,9 +6,9 @@
 from lacewing_common.log_lines import Try
 from lacewing_common.verdict import Reason
 
-from lacewing_ctl._story import DRAINING
-from lacewing_ctl._story import LOST
-from lacewing_ctl._story import Story
+from lacewing_ctl._timeline import DRAINING
+from lacewing_ctl._timeline import LOST
+from lacewing_ctl._timeline import RequestTimeline
 
 # So many requests that fail at one upstream at about the same time are more
 # than answers that it spoils one by one.
@@ -16,7 +16,7 @@
 _SUCCESS = range(200, 300)
 
 
-def cause(story: Story) -> str:
+def describe_cause(story: RequestTimeline) -> str:
     """Return one or two sentences on why the request ended as it did."""
     line = story.line
     if not line.reason:
@@ -32,7 +32,7 @@
     return explain(story)
 
 
-def _store(story: Story) -> str:
+def _store(story: RequestTimeline) -> str:
     text = (
         'The configuration was last confirmed'
         f' {story.line.config_age_ms} ms before, too long to trust keys.'
@@ -43,7 +43,7 @@
     return f'{text} A call to the store may still wait for its answer.'
 
 
-def _no_room(story: Story) -> str:
+def _no_room(story: RequestTimeline) -> str:
     line = story.line
     if line.upstreams == 0:
         return 'No upstream of the service was known.'
@@ -55,7 +55,7 @@
     return f'{line.message}, after {len(line.tries)} sends.'
 
 
-def _refused(story: Story) -> str:
+def _refused(story: RequestTimeline) -> str:
     for one in story.line.tries:
         for order in story.orders:
             if order.upstream == one.upstream:
@@ -67,7 +67,7 @@
     return 'The upstreams that were tried were full.'
 
 
-def _blocked(story: Story) -> str:
+def _blocked(story: RequestTimeline) -> str:
     crashed = []
     for line in story.crashes:
         if line.upstream not in crashed:
@@ -83,7 +83,7 @@
     )
 
 
-def _broken(story: Story) -> str:
+def _broken(story: RequestTimeline) -> str:
     last = _last(story)
     for line in story.crashes:
         if line.upstream == last.upstream:
@@ -103,11 +103,11 @@
     )
 
 
-def _unreachable(story: Story) -> str:
+def _unreachable(story: RequestTimeline) -> str:
     return f'No connection to {_last(story).upstream} could be opened.'
 
 
-def _silent(story: Story) -> str:
+def _silent(story: RequestTimeline) -> str:
     last = _last(story)
     if last.first_ms >= 0:
         return (
@@ -120,7 +120,7 @@
     )
 
 
-def _gone(story: Story) -> str:
+def _gone(story: RequestTimeline) -> str:
     line = story.line
     if not line.tries:
         return 'The caller left before the request was sent.'
@@ -133,7 +133,7 @@
     return f'The caller gave up. {_silent(story)}'
 
 
-def _stopped(story: Story) -> str:
+def _stopped(story: RequestTimeline) -> str:
     text = f'{story.line.message}, {story.line.ms} ms after it was asked'
     for line in story.process:
         if line.event == DRAINING:
@@ -142,23 +142,23 @@
     return f'{story.line.process} ended; {text}.'
 
 
-def _key(story: Story) -> str:
+def _key(story: RequestTimeline) -> str:
     return f'Configuration {story.line.config} holds no such key.'
 
 
-def _path(story: Story) -> str:
+def _path(story: RequestTimeline) -> str:
     return f'Configuration {story.line.config} holds no such route.'
 
 
-def _last(story: Story) -> Try:
+def _last(story: RequestTimeline) -> Try:
     if story.line.tries:
         return story.line.tries[-1]
     return Try(upstream='no upstream', verdict='', reason='', ms=0)
 
 
-def _failures_at(story: Story, upstream: str) -> int:
+def _failures_at(story: RequestTimeline, upstream: str) -> int:
     count = 0
-    for line in story.beside:
+    for line in story.related_lines:
         for one in line.tries:
             if one.upstream == upstream and one.reason:
                 count += 1
@@ -166,7 +166,7 @@
     return count
 
 
-_BY_REASON: Mapping[str, Callable[[Story], str]] = {
+_BY_REASON: Mapping[str, Callable[[RequestTimeline], str]] = {
     Reason.PLATFORM_UNAVAILABLE.value: _store,
     Reason.NO_WORKER.value: _no_room,
     Reason.QUEUE_FULL.value: _refused,
--- a/packages/ctl/src/lacewing_ctl/_commands/draft.py
+++ b/packages/ctl/src/lacewing_ctl/_commands/draft.py
@@ -20,9 +20,9 @@
 from lacewing_ctl._draft import Signing
 from lacewing_ctl._edit import EditError
 from lacewing_ctl._edit import set_value
-from lacewing_ctl._end import end
-from lacewing_ctl._end import say
-from lacewing_ctl._fetch import fetch
+from lacewing_ctl._exit import exit_with
+from lacewing_ctl._exit import print_status
+from lacewing_ctl._fetch import fetch_bundle
 from lacewing_ctl._profile import find_profile
 from lacewing_ctl._session import in_session
 
@@ -40,7 +40,7 @@
     found = find_profile(profile)
     draft = Draft(file)
     if draft.path.exists():
-        end(Exit.USAGE, f'{file} exists')
+        exit_with(Exit.USAGE, f'{file} exists')
     bundle = Bundle(
         operators=found.root_operators,
         prefix_secret=secrets.token_hex(_SECRET_BYTES),
@@ -69,11 +69,13 @@
     draft = Draft(file)
     if fetch_again or not draft.path.exists():
         fetched = in_session(
-            find_profile(profile), _PATIENCE_S, lambda open_: fetch(open_, 0)
+            find_profile(profile),
+            _PATIENCE_S,
+            lambda open_: fetch_bundle(open_, 0),
         )
         draft.write(fetched.bundle)
         draft.write_signing(Signing(base=fetched.number))
-        say(f'{file} is the bundle of roll {fetched.number}')
+        print_status(f'{file} is the bundle of roll {fetched.number}')
     if set:
         _set(draft, set)
 
@@ -104,11 +106,11 @@
     """Read the key file of the flag or of the profile; end without one."""
     path = str(key) or find_profile(profile).key
     if not path:
-        end(Exit.USAGE, 'expected --key FILE or a key in the profile')
+        exit_with(Exit.USAGE, 'expected --key FILE or a key in the profile')
     try:
         return read_key(Path(path))
     except SettingsError as error:
-        end(Exit.USAGE, str(error))
+        exit_with(Exit.USAGE, str(error))
 
 
 def now() -> str:
@@ -121,7 +123,7 @@
         raw = msgspec.json.decode(draft.text())
         set_value(raw, str(assignment))
     except (EditError, msgspec.DecodeError) as error:
-        end(Exit.USAGE, f'{draft.path}: {error}')
+        exit_with(Exit.USAGE, f'{draft.path}: {error}')
     draft.write_raw(raw)
 
 
@@ -134,7 +136,9 @@
         if signed.operator == signer:
             continue
         if signed.digest != digest:
-            say(f'the sign-off by {signed.operator} is void after an edit')
+            print_status(
+                f'the sign-off by {signed.operator} is void after an edit'
+            )
             continue
         valid.append(signed)
     return tuple(valid)
@@ -146,4 +150,6 @@
     try:
         return SignOffRole(role)
     except ValueError:
-        end(Exit.USAGE, f'expected --role author or approver, got {role!r}')
+        exit_with(
+            Exit.USAGE, f'expected --role author or approver, got {role!r}'
+        )
--- a/packages/ctl/src/lacewing_ctl/_commands/keys.py
+++ b/packages/ctl/src/lacewing_ctl/_commands/keys.py
@@ -7,7 +7,7 @@
 from lacewing_common.bundles import write_key
 from lacewing_common.exits import Exit
 
-from lacewing_ctl._end import end
+from lacewing_ctl._exit import exit_with
 
 
 def new(operator: str, out: str) -> None:
@@ -21,7 +21,7 @@
     try:
         write_key(Path(str(out)), key)
     except FileExistsError:
-        end(Exit.USAGE, f'{out} exists; a key is never overwritten')
+        exit_with(Exit.USAGE, f'{out} exists; a key is never overwritten')
     except OSError as error:
-        end(Exit.FAILED, f'key file {out}: {error}')
+        exit_with(Exit.FAILED, f'key file {out}: {error}')
     print(msgspec.json.encode(key.public).decode())
--- a/packages/ctl/src/lacewing_ctl/_commands/roll.py
+++ b/packages/ctl/src/lacewing_ctl/_commands/roll.py
@@ -8,30 +8,30 @@
 
 import msgspec
 from lacewing_common.audit import Action
+from lacewing_common.audit import append_rolls
 from lacewing_common.audit import AuditRecord
-from lacewing_common.audit import enter_rolls
 from lacewing_common.bundles import OperatorKey
 from lacewing_common.bundles import RollOrder
 from lacewing_common.exits import Exit
 from lacewing_common.rolls import make_rollback
-from lacewing_common.rolls import Rolled
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
+from lacewing_common.rolls import RollResult
 from lacewing_common.settings import SettingsError
 
 from lacewing_ctl._commands.draft import find_key
 from lacewing_ctl._commands.draft import now
 from lacewing_ctl._confirm import confirm
 from lacewing_ctl._confirm import Unconfirmed
+from lacewing_ctl._distribution import distribute
 from lacewing_ctl._draft import digest_of
 from lacewing_ctl._draft import Draft
 from lacewing_ctl._draft import order_of
 from lacewing_ctl._draft import Signing
-from lacewing_ctl._end import end
-from lacewing_ctl._end import say
+from lacewing_ctl._exit import exit_with
+from lacewing_ctl._exit import print_status
 from lacewing_ctl._fleet_file import FleetFile
 from lacewing_ctl._fleet_file import read_fleet_file
-from lacewing_ctl._handover import hand_over
 from lacewing_ctl._profile import find_profile
 from lacewing_ctl._profile import Profile
 from lacewing_ctl._session import in_session
@@ -84,12 +84,12 @@
     bundle = draft.bundle()
     signing = _begin_try(draft, digest_of(bundle))
     if signing.done:
-        say(f'this draft took effect as roll {signing.done} before')
-        done = Rolled(signing.done, signing.tried, 0)
+        print_status(f'this draft took effect as roll {signing.done} before')
+        done = RollResult(signing.done, signing.tried, 0)
         _finish(done, processes, wait_s, json)
     order = order_of(bundle, signing, above, trust_since)
 
-    async def work(session: Session) -> Rolled | RollError:
+    async def work(session: Session) -> RollResult | RollError:
         return await _roll(session, order, signing.base, operator)
 
     rolled = in_session(found, platform_s, work)
@@ -125,7 +125,7 @@
     operator = find_key(key, profile)
     processes = _processes(fleet, found)
 
-    async def work(session: Session) -> Rolled | RollError:
+    async def work(session: Session) -> RollResult | RollError:
         stored = await session.reads.head()
         if isinstance(stored, RollError):
             return stored
@@ -148,7 +148,7 @@
     """
 
     async def work(session: Session) -> int | RollError:
-        return await enter_rolls(session.trail, session.trails, session.reads)
+        return await append_rolls(session.trail, session.trails, session.reads)
 
     entered = in_session(find_profile(profile), platform_s, work)
     print(f'{entered} rolls entered')
@@ -156,14 +156,14 @@
 
 async def _roll(
     session: Session, order: RollOrder, base: int, key: OperatorKey
-) -> Rolled | RollError:
+) -> RollResult | RollError:
     rolled = await session.writes.roll(order, base, key)
     if isinstance(rolled, RollError):
         await _enter_failure(session, order, key, rolled)
         return rolled
-    entered = await enter_rolls(session.trail, session.trails, session.reads)
+    entered = await append_rolls(session.trail, session.trails, session.reads)
     if isinstance(entered, RollError):
-        say(
+        print_status(
             f'the audit trail was not written: {entered.message}; the next'
             ' roll enters what is missing, or "bundle enter-audit"'
         )
@@ -187,7 +187,7 @@
     )
     failed = await session.trail.append((record,))
     if failed is not None:
-        say(f'the audit trail was not written: {failed.message}')
+        print_status(f'the audit trail was not written: {failed.message}')
 
 
 def _begin_try(draft: Draft, digest: str) -> Signing:
@@ -203,7 +203,7 @@
 
 
 def _finish(
-    rolled: Rolled, fleet: FleetFile, wait_s: float, json: bool
+    rolled: RollResult, fleet: FleetFile, wait_s: float, json: bool
 ) -> NoReturn:
     unconfirmed: tuple[Unconfirmed, ...] = ()
     if fleet.operators:
@@ -219,10 +219,10 @@
 
 
 async def _bring(
-    rolled: Rolled, fleet: FleetFile, wait_s: float, quiet: bool
+    rolled: RollResult, fleet: FleetFile, wait_s: float, quiet: bool
 ) -> tuple[Unconfirmed, ...]:
     if rolled.document is not None:
-        await hand_over(fleet, rolled.document)
+        await distribute(fleet, rolled.document)
     return await confirm(fleet, rolled.number, rolled.digest, wait_s, quiet)
 
 
@@ -232,7 +232,7 @@
         return
     print(f'{total - len(unconfirmed)} of {total} processes confirm')
     for each in unconfirmed:
-        say(f'{each.address} does not confirm: {each.why}')
+        print_status(f'{each.address} does not confirm: {each.why}')
 
 
 def _processes(fleet: str, profile: Profile) -> FleetFile:
@@ -242,7 +242,7 @@
     try:
         return read_fleet_file(Path(path))
     except SettingsError as error:
-        end(Exit.USAGE, str(error))
+        exit_with(Exit.USAGE, str(error))
 
 
 def _nonce() -> str:
--- a/packages/ctl/src/lacewing_ctl/_handover.py
+++ b/packages/ctl/src/lacewing_ctl/_distribution.py
@@ -13,7 +13,7 @@
 _PATH = '/documents'
 
 
-async def hand_over(fleet: FleetFile, document: Document) -> int:
+async def distribute(fleet: FleetFile, document: Document) -> int:
     """Give a document to three processes; return how many took it.
 
     Processes that watch the platform may not hear of a roll if it goes down
--- a/packages/ctl/src/lacewing_ctl/_draft.py
+++ b/packages/ctl/src/lacewing_ctl/_draft.py
@@ -12,7 +12,7 @@
 from lacewing_common.bundles import split
 from lacewing_common.exits import Exit
 
-from lacewing_ctl._end import end
+from lacewing_ctl._exit import exit_with
 
 _SUFFIX = '.signoff'
 _INDENT = 2
@@ -55,7 +55,7 @@
         try:
             return self._path.read_bytes()
         except OSError as error:
-            end(Exit.USAGE, f'bundle {self._path}: {error}')
+            exit_with(Exit.USAGE, f'bundle {self._path}: {error}')
 
     def check(self) -> Bundle | tuple[Problem, ...]:
         """Read the bundle and check all of it."""
@@ -67,7 +67,7 @@
         if isinstance(checked, Bundle):
             return checked
         lines = '\n  '.join(str(problem) for problem in checked)
-        end(Exit.INVALID, f'{self._path}:\n  {lines}')
+        exit_with(Exit.INVALID, f'{self._path}:\n  {lines}')
 
     def signing(self) -> Signing:
         """Read base and sign-offs; end when they are malformed."""
@@ -76,11 +76,11 @@
         except FileNotFoundError:
             return Signing()
         except OSError as error:
-            end(Exit.USAGE, f'sign-offs {self._signing_path}: {error}')
+            exit_with(Exit.USAGE, f'sign-offs {self._signing_path}: {error}')
         try:
             return msgspec.json.decode(text, type=Signing)
         except msgspec.DecodeError as error:
-            end(Exit.USAGE, f'sign-offs {self._signing_path}: {error}')
+            exit_with(Exit.USAGE, f'sign-offs {self._signing_path}: {error}')
 
     def write(self, bundle: Bundle) -> None:
         """Write the bundle for people to edit."""
--- a/packages/ctl/src/lacewing_ctl/_end.py
+++ b/packages/ctl/src/lacewing_ctl/_exit.py
@@ -16,17 +16,17 @@
 }
 
 
-def end(code: Exit, message: str) -> NoReturn:
+def exit_with(code: Exit, message: str) -> NoReturn:
     """Print a line to standard error and end."""
     print(f'lacewingctl: {message}', file=sys.stderr)
     sys.exit(code)
 
 
-def end_with(error: RollError) -> NoReturn:
+def exit_with_error(error: RollError) -> NoReturn:
     """End with the code that fits the fault."""
-    end(_CODES[error.fault], error.message)
+    exit_with(_CODES[error.fault], error.message)
 
 
-def say(message: str) -> None:
+def print_status(message: str) -> None:
     """Print a line to standard error and go on."""
     print(f'lacewingctl: {message}', file=sys.stderr)
--- a/packages/ctl/src/lacewing_ctl/_fetch.py
+++ b/packages/ctl/src/lacewing_ctl/_fetch.py
@@ -9,7 +9,9 @@
 from lacewing_ctl._session import Session
 
 
-async def fetch(session: Session, number: int) -> RolledBundle | RollError:
+async def fetch_bundle(
+    session: Session, number: int
+) -> RolledBundle | RollError:
     """Read the bundle of a roll, 0: the one in force; verify who rolled it.
 
     It may have problems: this is how an operator gets to mend them.
@@ -18,7 +20,7 @@
     stored = await (reads.head_at(number) if number else reads.head())
     if isinstance(stored, RollError):
         return stored
-    document = await reads.signed(stored)
+    document = await reads.signed_document(stored)
     if isinstance(document, RollError):
         return document
     rolled = assemble(document)
--- a/packages/ctl/src/lacewing_ctl/_log_files.py
+++ b/packages/ctl/src/lacewing_ctl/_log_files.py
@@ -9,14 +9,14 @@
 
 
 @dataclass(frozen=True)
-class LogRead:
-    """Hold the lines of all files by time; ``unread`` are not ours."""
+class ParsedLogs:
+    """Hold the lines of all files by time; ``skipped_count`` are not ours."""
 
     lines: tuple[LogLine, ...]
-    unread: int
+    skipped_count: int
 
 
-def read_logs(paths: Iterable[Path]) -> LogRead:
+def read_logs(paths: Iterable[Path]) -> ParsedLogs:
     """Read JSON lines; whatever stands before a line's object is passed over.
 
     Supervisors put their own time and the process's name there. Raises
@@ -32,7 +32,7 @@
                 continue
             lines.append(line)
     lines.sort(key=_time_of)
-    return LogRead(tuple(lines), unread)
+    return ParsedLogs(tuple(lines), unread)
 
 
 def _read(text: bytes) -> LogLine | None:
--- a/packages/ctl/src/lacewing_ctl/_profile.py
+++ b/packages/ctl/src/lacewing_ctl/_profile.py
@@ -8,7 +8,7 @@
 from lacewing_common.exits import Exit
 from lacewing_common.settings import SettingsError
 
-from lacewing_ctl._end import end
+from lacewing_ctl._exit import exit_with
 
 _VARIABLE = 'LACEWINGCTL_PROFILE'
 
@@ -34,11 +34,11 @@
     """Read the profile of the flag or the environment; end without one."""
     path = str(profile or os.environ.get(_VARIABLE, ''))
     if not path:
-        end(Exit.USAGE, f'expected --profile FILE or ${_VARIABLE}')
+        exit_with(Exit.USAGE, f'expected --profile FILE or ${_VARIABLE}')
     try:
         return read_profile(Path(path))
     except SettingsError as error:
-        end(Exit.USAGE, str(error))
+        exit_with(Exit.USAGE, str(error))
 
 
 def read_profile(path: Path) -> Profile:
--- a/packages/ctl/src/lacewing_ctl/_queries/audit.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/audit.py
@@ -4,15 +4,15 @@
 
 import msgspec
 from lacewing_common.audit import AuditEntry
+from lacewing_common.audit import AuditTrail
 from lacewing_common.audit import BUNDLE_TRAIL
 from lacewing_common.audit import compare_rolls
-from lacewing_common.audit import Trail
 from lacewing_common.exits import Exit
 from lacewing_common.rolls import RollError
 from lacewing_common.store import StoreError
 from tabulate import tabulate
 
-from lacewing_ctl._end import say
+from lacewing_ctl._exit import print_status
 from lacewing_ctl._profile import find_profile
 from lacewing_ctl._session import in_session
 from lacewing_ctl._session import Session
@@ -52,7 +52,7 @@
     else:
         print(_table(report))
         for fault in report.faults:
-            say(fault)
+            print_status(fault)
     sys.exit(Exit.TAMPERED if report.faults else Exit.OK)
 
 
@@ -83,7 +83,7 @@
 
 
 async def _compare(
-    session: Session, trail: Trail
+    session: Session, trail: AuditTrail
 ) -> tuple[str, ...] | RollError:
     history = await session.reads.history(_EVERY_ROLL)
     if isinstance(history, RollError):
--- a/packages/ctl/src/lacewing_ctl/_queries/bundle.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/bundle.py
@@ -13,8 +13,8 @@
 
 from lacewing_ctl._draft import digest_of
 from lacewing_ctl._draft import Draft
-from lacewing_ctl._end import say
-from lacewing_ctl._fetch import fetch
+from lacewing_ctl._exit import print_status
+from lacewing_ctl._fetch import fetch_bundle
 from lacewing_ctl._profile import find_profile
 from lacewing_ctl._session import in_session
 from lacewing_ctl._session import Session
@@ -47,7 +47,7 @@
         print(msgspec.json.encode(Validation(digest, rows)).decode())
     else:
         for problem in problems:
-            say(f'{file}: {problem}')
+            print_status(f'{file}: {problem}')
         if not problems:
             print(f'{file}: valid, {digest}')
     sys.exit(Exit.INVALID if problems else Exit.OK)
@@ -115,7 +115,7 @@
     return in_session(
         find_profile(profile),
         _PATIENCE_S,
-        lambda session: fetch(session, number),
+        lambda session: fetch_bundle(session, number),
     )
 
 
--- a/packages/ctl/src/lacewing_ctl/_queries/explain.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/explain.py
@@ -8,13 +8,13 @@
 from lacewing_common.log_lines import Try
 from tabulate import tabulate
 
-from lacewing_ctl._causes import cause
-from lacewing_ctl._end import end
-from lacewing_ctl._end import say
+from lacewing_ctl._causes import describe_cause
+from lacewing_ctl._exit import exit_with
+from lacewing_ctl._exit import print_status
 from lacewing_ctl._log_files import read_logs
-from lacewing_ctl._story import ended_early
-from lacewing_ctl._story import find_stories
-from lacewing_ctl._story import Story
+from lacewing_ctl._timeline import find_timelines
+from lacewing_ctl._timeline import find_unclean_exits
+from lacewing_ctl._timeline import RequestTimeline
 
 _TRIES = (
     'upstream',
@@ -44,15 +44,17 @@
     try:
         read = read_logs(paths)
     except OSError as error:
-        end(Exit.FAILED, f'a log could not be read: {error}')
-    if read.unread:
-        say(f'{read.unread} lines are not of this system')
-    stories = find_stories(read.lines, str(request))
+        exit_with(Exit.FAILED, f'a log could not be read: {error}')
+    if read.skipped_count:
+        print_status(f'{read.skipped_count} lines are not of this system')
+    stories = find_timelines(read.lines, str(request))
     if not stories:
-        for line in ended_early(read.lines):
+        for line in find_unclean_exits(read.lines):
             at = line.timestamp.isoformat()
-            say(f'the log of {line.process} ends at {at} without a stop')
-        end(
+            print_status(
+                f'the log of {line.process} ends at {at} without a stop'
+            )
+        exit_with(
             Exit.FAILED,
             f'no line of request {request}; it may be among those left out:'
             ' look for "Left out lines of requests."',
@@ -68,7 +70,7 @@
     return tuple(logs)
 
 
-def _page(story: Story) -> str:
+def _page(story: RequestTimeline) -> str:
     line = story.line
     parts = [
         f'{line.request} at {line.process}, {line.timestamp.isoformat()}',
@@ -84,14 +86,14 @@
         *story.process,
         *story.orders,
         *story.crashes,
-        *story.beside[:_MOST_BESIDE],
+        *story.related_lines[:_MOST_BESIDE],
     ]
     for other in around:
         parts.append(f'  {_short(other)}')
-    more = len(story.beside) - _MOST_BESIDE
+    more = len(story.related_lines) - _MOST_BESIDE
     if more > 0:
         parts.append(f'  and {more} more that failed at these upstreams')
-    parts.append(f'cause: {cause(story)}')
+    parts.append(f'cause: {describe_cause(story)}')
     return '\n'.join(parts)
 
 
--- a/packages/ctl/src/lacewing_ctl/_queries/placement.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/placement.py
@@ -14,7 +14,7 @@
 from lacewing_common.verdict import Refusal
 from tabulate import tabulate
 
-from lacewing_ctl._fetch import fetch
+from lacewing_ctl._fetch import fetch_bundle
 from lacewing_ctl._profile import find_profile
 from lacewing_ctl._session import in_session
 from lacewing_ctl._session import Session
@@ -59,7 +59,7 @@
 async def _read_all(
     session: Session, name: str
 ) -> tuple[PlacedService, ...] | RollError | StoreError:
-    rolled = await fetch(session, 0)
+    rolled = await fetch_bundle(session, 0)
     if isinstance(rolled, RollError):
         return rolled
     found: list[PlacedService] = []
--- a/packages/ctl/src/lacewing_ctl/_session.py
+++ b/packages/ctl/src/lacewing_ctl/_session.py
@@ -8,19 +8,19 @@
 from lacewing_common.audit import AuditLog
 from lacewing_common.audit import AuditReads
 from lacewing_common.audit import BUNDLE_TRAIL
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.exits import Exit
-from lacewing_common.patience import Patience
 from lacewing_common.platform_client import ClientOptions
 from lacewing_common.platform_client import PlatformClient
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.rolls import BundleReads
 from lacewing_common.rolls import BundleWrites
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
 from lacewing_common.store import StoreError
 
-from lacewing_ctl._end import end
-from lacewing_ctl._end import end_with
+from lacewing_ctl._exit import exit_with
+from lacewing_ctl._exit import exit_with_error
 from lacewing_ctl._profile import Profile
 
 T = TypeVar('T')
@@ -33,8 +33,8 @@
         self, client: PlatformClient, profile: Profile, patience_s: float
     ) -> None:
         self.store = client
-        patience = Patience(give_up_after_s=patience_s)
-        guard = BundleGuard(profile.root_operators)
+        patience = RetryPolicy(give_up_after_s=patience_s)
+        guard = BundleValidator(profile.root_operators)
         self.reads = BundleReads(client, guard, patience)
         self.writes = BundleWrites(client, guard, patience)
         self.trails = AuditReads(client, patience)
@@ -49,9 +49,9 @@
     """Run work on the platform; end with the code of its error."""
     result = asyncio.run(_run(profile, patience_s, work))
     if isinstance(result, RollError):
-        end_with(result)
+        exit_with_error(result)
     if isinstance(result, StoreError):
-        end_with(RollError(RollFault.UNAVAILABLE, result.message))
+        exit_with_error(RollError(RollFault.UNAVAILABLE, result.message))
     return result
 
 
@@ -61,7 +61,9 @@
     work: Callable[[Session], Awaitable[T | RollError | StoreError]],
 ) -> T | RollError | StoreError:
     if not profile.platform:
-        end(Exit.USAGE, 'expected the URL of the platform in the profile')
+        exit_with(
+            Exit.USAGE, 'expected the URL of the platform in the profile'
+        )
     options = ClientOptions(ca_file=profile.authority or None)
     client = PlatformClient(profile.platform, options)
     try:
--- a/packages/ctl/src/lacewing_ctl/_story.py
+++ b/packages/ctl/src/lacewing_ctl/_timeline.py
@@ -23,25 +23,25 @@
 
 
 @dataclass(frozen=True)
-class Story:
+class RequestTimeline:
     """Hold a request's own line and the lines that may explain it.
 
     ``orders``: orders of weights to the upstreams that were tried.
-    ``beside``: other requests that failed at one of these upstreams.
+    ``related_lines``: other requests that failed at one of these upstreams.
     ``process``: what the process lost, or that it started or drains.
     ``crashes``: crashes of upstreams that broke off what asks the same.
     """
 
     line: LogLine
     orders: tuple[LogLine, ...]
-    beside: tuple[LogLine, ...]
+    related_lines: tuple[LogLine, ...]
     process: tuple[LogLine, ...]
     crashes: tuple[LogLine, ...] = ()
 
 
-def find_stories(
+def find_timelines(
     lines: Sequence[LogLine], request_id: str
-) -> tuple[Story, ...]:
+) -> tuple[RequestTimeline, ...]:
     """Return a story for each line of the request; none if it has no line."""
     stories = []
     for line in lines:
@@ -50,7 +50,7 @@
     return tuple(stories)
 
 
-def ended_early(lines: Sequence[LogLine]) -> tuple[LogLine, ...]:
+def find_unclean_exits(lines: Sequence[LogLine]) -> tuple[LogLine, ...]:
     """Return the last lines of processes that fell silent without a stop.
 
     A VM that lost its power writes no line of what it had open.
@@ -68,7 +68,7 @@
     return tuple(found)
 
 
-def _story(lines: Sequence[LogLine], own: LogLine) -> Story:
+def _story(lines: Sequence[LogLine], own: LogLine) -> RequestTimeline:
     began = own.timestamp - timedelta(milliseconds=own.ms)
     tried = frozenset(one.upstream for one in own.tries)
     orders = []
@@ -90,7 +90,7 @@
             orders.append(line)
         if line.event == FAILED and _failed_at(line, tried):
             beside.append(line)
-    return Story(
+    return RequestTimeline(
         own, tuple(orders), tuple(beside), tuple(process), tuple(crashes)
     )
 
--- a/packages/daemon/src/lacewing_daemon/_audit.py
+++ b/packages/daemon/src/lacewing_daemon/_audit.py
@@ -12,15 +12,15 @@
 from lacewing_common.identity import ProcessName
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
-from lacewing_common.patience import Patience
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.store import ObjectStore
 
 TRAILS_PER_ZONE = 16
 _LAST_FLUSH_S = 2.0
-_PATIENCE = Patience(give_up_after_s=1.0)
+_PATIENCE = RetryPolicy(give_up_after_s=1.0)
 
 
-def trail_of(process_id: str, availability_zone: str) -> str:
+def audit_trail_name(process_id: str, availability_zone: str) -> str:
     """Return the name of the trail that a process writes to.
 
     All processes of a zone may drain at once, and writers of one trail put
@@ -36,7 +36,7 @@
 
     def __init__(self, name: ProcessName, availability_zone: str) -> None:
         self._who = str(name)
-        self._trail = trail_of(name.process_id, availability_zone)
+        self._trail = audit_trail_name(name.process_id, availability_zone)
         self._buffer: AuditBuffer | None = None
         self._reports = 0
         self._log = get_log(Part.AUDIT)
@@ -90,4 +90,6 @@
             async with asyncio.timeout(_LAST_FLUSH_S):
                 await self._buffer.flush()
         except TimeoutError:
-            self._log.warning('Entries lost.', count=self._buffer.waiting)
+            self._log.warning(
+                'Entries lost.', count=self._buffer.pending_count
+            )
--- a/packages/daemon/src/lacewing_daemon/_operators.py
+++ b/packages/daemon/src/lacewing_daemon/_operators.py
@@ -40,7 +40,7 @@
         """Return what msgspec can encode, or None when nothing is kept."""
 
 
-class DocumentTaker(Protocol):
+class DocumentReceiver(Protocol):
     """Take a document that an operator hands over."""
 
     def __call__(self, document: Document) -> Refusal | None:
@@ -107,7 +107,9 @@
 
 
 class _Documents(RequestHandler):
-    def initialize(self, take: DocumentTaker, needs_certificate: bool) -> None:
+    def initialize(
+        self, take: DocumentReceiver, needs_certificate: bool
+    ) -> None:
         """Take what accepts documents."""
         self._take = take
         self._needs_certificate = needs_certificate
@@ -145,7 +147,7 @@
         settings: Settings,
         source: StatusSource,
         explain: ExplanationSource,
-        take: DocumentTaker,
+        take: DocumentReceiver,
     ) -> None:
         self._settings = settings
         documents = {
--- a/packages/daemon/src/lacewing_daemon/_peers_server.py
+++ b/packages/daemon/src/lacewing_daemon/_peers_server.py
@@ -26,7 +26,7 @@
 _PING_TIMEOUT_S = 10.0
 
 
-class PeerServed(Protocol):
+class GrpcService(Protocol):
     """Serve some gRPC methods."""
 
     def __mapping__(self) -> Mapping[str, Handler]:
@@ -37,7 +37,7 @@
     """Serve several parts of a process on its one listener for peers."""
 
     def __init__(
-        self, settings: Settings, services: Sequence[PeerServed]
+        self, settings: Settings, services: Sequence[GrpcService]
     ) -> None:
         self._settings = settings
         self._server = Server(
--- a/packages/daemon/src/lacewing_daemon/_serve.py
+++ b/packages/daemon/src/lacewing_daemon/_serve.py
@@ -9,7 +9,7 @@
 
 from lacewing_common.audit import Action
 from lacewing_common.bundles import BUNDLE
-from lacewing_common.bundles import BundleGuard
+from lacewing_common.bundles import BundleValidator
 from lacewing_common.document import Document
 from lacewing_common.document import DocumentKind
 from lacewing_common.document import DocumentName
@@ -18,12 +18,12 @@
 from lacewing_common.identity import ProcessName
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
-from lacewing_common.plan import guard_plan
+from lacewing_common.plan import validate_plan
 from lacewing_common.platform_client import PlatformClient
 from lacewing_common.settings import Settings
 from lacewing_common.status import Addresses
 from lacewing_common.status import ProcessStatus
-from lacewing_common.tls import bound_tls_buffers
+from lacewing_common.tls import limit_tls_buffers
 from lacewing_common.verdict import not_run
 from lacewing_common.verdict import Reason
 from lacewing_common.verdict import Refusal
@@ -31,7 +31,7 @@
 from lacewing_daemon._audit import ProcessAudit
 from lacewing_daemon._operators import OperatorsServer
 from lacewing_daemon._roles import start_role
-from lacewing_daemon._signals import on_hangup
+from lacewing_daemon._signals import on_sighup
 from lacewing_daemon._signals import StopSignals
 from lacewing_daemon.bundles import FileBundles
 from lacewing_daemon.bundles import ReplicatedBundles
@@ -39,7 +39,7 @@
 from lacewing_daemon.peers import PeerNode
 from lacewing_daemon.peers import PlatformReader
 from lacewing_daemon.runtime import BundleSource
-from lacewing_daemon.runtime import Explains
+from lacewing_daemon.runtime import ExplanationProvider
 from lacewing_daemon.runtime import RoleStatus
 from lacewing_daemon.runtime import RunningRole
 from lacewing_daemon.runtime import Runtime
@@ -56,19 +56,19 @@
         self._signals = StopSignals()
         self._contacts = KnownMembers(settings.seeds)
         self._name = ProcessName(settings.process_id, new_incarnation())
-        self._guard = BundleGuard(settings.root_operators)
+        self._guard = BundleValidator(settings.root_operators)
         self._node = PeerNode(
             self._name,
             settings,
             {
                 DocumentKind.BUNDLE: self._guard,
-                DocumentKind.PLAN: guard_plan,
+                DocumentKind.PLAN: validate_plan,
             },
             self._contacts.addresses,
             Random(),
         )
         self._node.documents.on_change(
-            DocumentKind.BUNDLE, self._guard.remember
+            DocumentKind.BUNDLE, self._guard.record_trust
         )
         self._audit = ProcessAudit(
             self._name, settings.place.availability_zone
@@ -95,9 +95,9 @@
 
     async def run(self) -> Exit:
         """Serve until a stop signal, then drain."""
-        bound_tls_buffers()
+        limit_tls_buffers()
         self._signals.listen()
-        on_hangup(self._file.reload)
+        on_sighup(self._file.reload)
         self._file.reload()
         self._operators_address = str(self._operators.listen())
         self._follow(self._file.follow())
@@ -210,7 +210,7 @@
         )
 
     def _explain(self, request_id: str) -> object | None:
-        if not isinstance(self._role, Explains):
+        if not isinstance(self._role, ExplanationProvider):
             return None
         return self._role.explain(request_id)
 
--- a/packages/daemon/src/lacewing_daemon/_signals.py
+++ b/packages/daemon/src/lacewing_daemon/_signals.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lacewing_common.exits import SIGNAL_BASE
-from lacewing_common.log import end_logs
+from lacewing_common.log import close_logs
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
 
@@ -44,12 +44,12 @@
             # An operator who asks twice no longer wants to wait for streams
             # that a dead caller may hold open until the drain period ends.
             self._log.warning('Ending at once.', signal=number.name)
-            end_logs()
+            close_logs()
             os._exit(SIGNAL_BASE + number)
         self._log.info('Draining.', signal=number.name)
         self._stopping.set()
 
 
-def on_hangup(callback: Callable[[], None]) -> None:
+def on_sighup(callback: Callable[[], None]) -> None:
     """Call back on each SIGHUP."""
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, callback)
--- a/packages/daemon/src/lacewing_daemon/agent/_agent.py
+++ b/packages/daemon/src/lacewing_daemon/agent/_agent.py
@@ -27,7 +27,7 @@
 from lacewing_common.wire import Welcome
 from lacewing_common.wire import WorkerChanged
 
-from lacewing_daemon._peers_server import PeerServed
+from lacewing_daemon._peers_server import GrpcService
 from lacewing_daemon._peers_server import PeersServer
 from lacewing_daemon.agent._admission import FairAdmission
 from lacewing_daemon.agent._attempt import Attempt
@@ -134,7 +134,7 @@
             self._models,
             self._meter,
         )
-        services: list[PeerServed] = [self, *runtime.peer_services]
+        services: list[GrpcService] = [self, *runtime.peer_services]
         if self._placement is not None:
             services.append(self._placement.service)
         self._server = PeersServer(runtime.settings, services)
--- a/packages/daemon/src/lacewing_daemon/agent/_cache.py
+++ b/packages/daemon/src/lacewing_daemon/agent/_cache.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import msgspec
-from lacewing_common.learnt import PrefillCost
+from lacewing_common.online_estimates import PrefillCost
 from lacewing_common.prefix import HASH_BYTES
 from lacewing_common.wire import CacheReport
 from lacewing_common.wire import Start
@@ -169,4 +169,4 @@
             return
         computed = report.prompt_blocks - report.hit_blocks + self._ahead
         took_s = self._first_byte_at_s - self._sent_at_s
-        self._knowledge.prefill.learn(computed, took_s * _MS_PER_S)
+        self._knowledge.prefill.update(computed, took_s * _MS_PER_S)
--- a/packages/daemon/src/lacewing_daemon/agent/_kept.py
+++ b/packages/daemon/src/lacewing_daemon/agent/_kept.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 import msgspec
-from lacewing_common.learnt import PrefillCost
+from lacewing_common.online_estimates import PrefillCost
 from lacewing_common.prefix import HASH_BYTES
 from lacewing_common.prefix import split_hashes
 from lacewing_common.wire import CacheReport
--- a/packages/daemon/src/lacewing_daemon/bundles/_replicated.py
+++ b/packages/daemon/src/lacewing_daemon/bundles/_replicated.py
@@ -6,7 +6,7 @@
 from lacewing_common.bundle import RolledBundle
 from lacewing_common.document import Document
 from lacewing_common.document import DocumentKind
-from lacewing_common.document import Documents
+from lacewing_common.document import DocumentStore
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
 from lacewing_common.verdict import Refusal
@@ -17,7 +17,7 @@
 class ReplicatedBundles:
     """Give the bundle of the newest document accepted."""
 
-    def __init__(self, documents: Documents, assemble: Assemble) -> None:
+    def __init__(self, documents: DocumentStore, assemble: Assemble) -> None:
         self._assemble = assemble
         self._current = NO_BUNDLE
         self._callbacks: list[Callable[[RolledBundle], None]] = []
--- a/packages/daemon/src/lacewing_daemon/claims/_range_writer.py
+++ b/packages/daemon/src/lacewing_daemon/claims/_range_writer.py
@@ -8,8 +8,8 @@
 
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
-from lacewing_common.put_resolving import put_resolving
-from lacewing_common.put_resolving import ResolvePolicy
+from lacewing_common.resolved_put import put_with_resolution
+from lacewing_common.resolved_put import ResolvePolicy
 from lacewing_common.store import MUST_NOT_EXIST
 from lacewing_common.store import ObjectStore
 from lacewing_common.store import StoredObject
@@ -226,7 +226,7 @@
     async def _write(self, draft: Draft) -> bool:
         """Write a draft; false when the commit has failed."""
         assert self._book is not None
-        result = await put_resolving(
+        result = await put_with_resolution(
             self._store,
             KIND,
             self._name,
--- a/packages/daemon/src/lacewing_daemon/direct/_cached_parts.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_cached_parts.py
@@ -7,7 +7,7 @@
 from lacewing_daemon.direct._routing_config import KvStore
 from lacewing_daemon.direct._target import Target
 from lacewing_daemon.direct._upstream_state import UpstreamState
-from lacewing_daemon.rendezvous import best
+from lacewing_daemon.rendezvous import highest_ranked
 
 _MS = 1000.0
 
@@ -51,7 +51,7 @@
         if len(stores) == 1:
             return stores[0]
         addresses = tuple(sorted(store.address for store in stores))
-        chosen = best(prompt_key(prompt), addresses)
+        chosen = highest_ranked(prompt_key(prompt), addresses)
         for store in stores:
             if store.address == chosen:
                 return store
--- a/packages/daemon/src/lacewing_daemon/direct/_candidates.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_candidates.py
@@ -4,7 +4,7 @@
 
 from lacewing_daemon.direct._call import Prompt
 from lacewing_daemon.direct._upstream_state import UpstreamState
-from lacewing_daemon.rendezvous import ranked
+from lacewing_daemon.rendezvous import rank_workers
 
 _KEY_BYTES = 8
 
@@ -30,7 +30,7 @@
         return states
     rank = {}
     key = prompt_key(prompt)
-    for position, name in enumerate(ranked(key, ids, len(ids))):
+    for position, name in enumerate(rank_workers(key, ids, len(ids))):
         rank[name] = position
     return sorted(states, key=lambda one: rank[one.upstream.upstream_id])
 
--- a/packages/daemon/src/lacewing_daemon/direct/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_exchange.py
@@ -132,7 +132,7 @@
             self._reply.abort()
             raise
         if refusal is not None:
-            self._refuse(self._refusals.final(refusal))
+            self._refuse(self._refusals.final_refusal(refusal))
 
     def _allowed_s(self, admitted: Admitted) -> float:
         allowed_s = admitted.route.timeout_s
--- a/packages/daemon/src/lacewing_daemon/direct/_loading.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_loading.py
@@ -10,7 +10,7 @@
 from math import ceil
 
 from lacewing_daemon.direct._policy import LoadPolicy
-from lacewing_daemon.rendezvous import ranked
+from lacewing_daemon.rendezvous import rank_workers
 
 # An order without effect is repeated after this time; a load takes 0.4 s.
 REPEAT_S = 1.2
@@ -45,7 +45,7 @@
     text = f'{model}\0{version}'.encode()
     key = blake2b(text, digest_size=_KEY_BYTES).digest()
     ids = tuple(sorted(engines))
-    order = sorted(ranked(key, ids, len(ids)), key=engines.__getitem__)
+    order = sorted(rank_workers(key, ids, len(ids)), key=engines.__getitem__)
     at_once = ceil(len(order) / policy.load_turns)
     early = ceil(len(order) * policy.load_early_part)
     times = {}
--- a/packages/daemon/src/lacewing_daemon/direct/_planner.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_planner.py
@@ -62,7 +62,7 @@
         self._control = control
         self._lease = lease
         self._holder = holder
-        self._held = False
+        self._holds_lease = False
         self._orders_from_s = 0.0
         self._renewed_s = float('-inf')
         # Of each start of an engine, the time of each model's last order. An
@@ -84,7 +84,7 @@
         """Plan until stopped."""
         while not self._stopping:
             await self._keep_lease()
-            if not self._held:
+            if not self._holds_lease:
                 await asyncio.sleep(STANDBY_S / 2 + self._backoff.next_s())
                 continue
             await self._order()
@@ -116,11 +116,11 @@
         now_s = boot_s()
         if self._lease.is_held and now_s - self._renewed_s < RENEW_S:
             return
-        was_held = self._held and self._lease.is_held
+        was_held = self._holds_lease and self._lease.is_held
         answer = await self._lease.acquire()
-        self._held = isinstance(answer, LeaseHeld)
-        LEASE_HELD.set(int(self._held))
-        if not self._held:
+        self._holds_lease = isinstance(answer, LeaseHeld)
+        LEASE_HELD.set(int(self._holds_lease))
+        if not self._holds_lease:
             if was_held:
                 _log.warning('Lost the lease for weights.')
             return
--- a/packages/daemon/src/lacewing_daemon/direct/_router.py
+++ b/packages/daemon/src/lacewing_daemon/direct/_router.py
@@ -12,7 +12,7 @@
 from lacewing_common.settings import SettingsError
 from msgspec.structs import replace
 
-from lacewing_daemon._signals import on_hangup
+from lacewing_daemon._signals import on_sighup
 from lacewing_daemon._signals import StopSignals
 from lacewing_daemon.direct._call import CallerRequest
 from lacewing_daemon.direct._caller_reply import CallerReply
@@ -76,7 +76,7 @@
             Random(),
             RequestLog(time.monotonic()),
         )
-        self._front = CallerServer(wire, self._serve)
+        self._caller_server = CallerServer(wire, self._serve)
         self._fleet.on_routing_config(self._take_directory)
         self._ready = PageServer(lambda: ready_page(self.ready))
         self._metrics = PageServer(self._metrics_page)
@@ -99,7 +99,7 @@
     @property
     def callers_address(self) -> str:
         """Return ``ip:port`` for callers, once started."""
-        return self._front.address
+        return self._caller_server.address
 
     @property
     def ready(self) -> bool:
@@ -129,7 +129,7 @@
     async def run(self) -> Exit:
         """Serve until a stop signal, then end what is open."""
         self._signals.listen()
-        on_hangup(self._reload)
+        on_sighup(self._reload)
         self.start()
         await self._signals.stopping.wait()
         await self.stop()
@@ -138,7 +138,7 @@
     def start(self) -> None:
         """Listen and follow the store."""
         callers = self._settings.callers_address
-        self._front.listen(callers.host, callers.port)
+        self._caller_server.listen(callers.host, callers.port)
         ready = self._settings.ready_address
         self._ready.listen(ready.host, ready.port)
         if self._settings.metrics:
@@ -146,7 +146,7 @@
             self._metrics.listen(metrics.host, metrics.port)
         self._fleet.start()
         self._planner.start()
-        _log.info('Started.', callers=self._front.address)
+        _log.info('Started.', callers=self._caller_server.address)
 
     async def stop(self) -> None:
         """Hand the lease over and end open requests in the time given."""
@@ -157,14 +157,14 @@
         handing_over.cancel()
         leaving.cancel()
         self._fleet.close()
-        _log.info('Stopped.', open=self._front.open_requests)
+        _log.info('Stopped.', open=self._caller_server.open_requests)
 
     async def close(self) -> None:
         """End everything at once, open requests included."""
         self._stopping = True
         self._planner.close()
-        self._front.stop_listening()
-        await self._front.close()
+        self._caller_server.stop_listening()
+        await self._caller_server.close()
         self._ready.close()
         self._metrics.close()
         self._fleet.close()
@@ -172,17 +172,17 @@
     async def _drain(self) -> None:
         began_s = time.monotonic()
         end_s = began_s + self._settings.bounds.drain_s - CLOSE_S
-        self._front.begin_drain()
+        self._caller_server.begin_drain()
         await asyncio.sleep(OUT_OF_ROTATION_S)
-        self._front.stop_listening()
-        while self._front.open_requests and time.monotonic() < end_s:
+        self._caller_server.stop_listening()
+        while self._caller_server.open_requests and time.monotonic() < end_s:
             await asyncio.sleep(_LOOK_S)
-        await self._front.close()
+        await self._caller_server.close()
         self._ready.close()
         self._metrics.close()
 
     def _take_directory(self, directory: RoutingConfig) -> None:
-        self._front.set_idle_timeout(directory.limits.idle_s)
+        self._caller_server.set_idle_timeout(directory.limits.idle_s)
 
     def _metrics_page(self) -> Page:
         self._fleet.update_age_metrics()
--- a/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
+++ b/packages/daemon/src/lacewing_daemon/direct/crashes/_guard.py
@@ -62,7 +62,7 @@
         self._peers_address = peers_address
         self._others = others
         self._random = random
-        self._ledger = CrashRegistry()
+        self._registry = CrashRegistry()
         self._probes = ProbeSchedule(random)
         self._witness = CrashDetector(reached, self._take_own)
         self._stored = CrashStore(store, followed, process_id, random, eras)
@@ -74,7 +74,7 @@
 
     def is_blocked(self, fingerprint: str) -> bool:
         """Tell whether a request must not be sent to upstreams."""
-        return fingerprint in self._ledger.blocked
+        return fingerprint in self._registry.blocked
 
     def admits_probe(self, fingerprint: str) -> bool:
         """Admit one run of a blocked request if a probe of it is due."""
@@ -85,11 +85,11 @@
 
     def retry_after_s(self, fingerprint: str) -> float:
         """Return the delay after which a blocked request may be retried."""
-        return self._ledger.retry_after_s(fingerprint)
+        return self._registry.retry_after_s(fingerprint)
 
     def is_suspected(self, fingerprint: str) -> bool:
         """Tell whether upstreams have crashed under a request."""
-        return self._ledger.crash_count(fingerprint) > 0
+        return self._registry.crash_count(fingerprint) > 0
 
     def run_opened(self, fingerprint: str, cut: Cut) -> None:
         """Note a run that has brought nothing yet; ``cut`` breaks it off."""
@@ -112,12 +112,12 @@
         ``opened_s`` is when its connection was opened, on the boot clock.
         """
         known = UpstreamIncarnation(upstream.upstream_id, upstream.started_ms)
-        start = self._ledger.incarnation_of(known, opened_s)
+        start = self._registry.incarnation_of(known, opened_s)
         self._witness.run_broken(upstream, start, run)
 
     def run_succeeded(self, fingerprint: str) -> None:
         """Note that a request was answered: it crashed nothing before."""
-        news = self._ledger.clear(fingerprint)
+        news = self._registry.clear(fingerprint)
         if news:
             self._judge()
             self._spread(news, '')
@@ -141,7 +141,7 @@
 
         news = CrashGossip(
             self._peers_address,
-            self._ledger,
+            self._registry,
             self._others,
             self._take,
             self._store_own,
@@ -157,7 +157,7 @@
     async def _forget(self) -> None:
         while True:
             await asyncio.sleep(FORGET_S)
-            self._ledger.expire()
+            self._registry.expire()
             self._judge()
 
     def _take_own(self, record: CrashRecord) -> None:
@@ -185,7 +185,7 @@
 
     def _take(self, records: Iterable[CrashRecord]) -> tuple[CrashRecord, ...]:
         """Take records; return those that told something new."""
-        news = tuple(one for one in records if self._ledger.merge(one))
+        news = tuple(one for one in records if self._registry.merge(one))
         if news:
             self._store_repeated(news)
             self._judge()
@@ -208,7 +208,7 @@
         """Write to the store what adds to a crash under the same request."""
         for record in news:
             for suspect in record.suspects:
-                starts = self._ledger.incarnations(suspect.fingerprint)
+                starts = self._registry.incarnations(suspect.fingerprint)
                 if len(starts) < CRASHES_TO_WRITE:
                     continue
                 for start in starts & self._own.keys():
@@ -216,17 +216,17 @@
 
     def _judge(self) -> None:
         """Act on what is known now."""
-        blocked = self._ledger.blocked
+        blocked = self._registry.blocked
         for fingerprint in blocked - self._blocked:
             _log.warning(
                 'Blocks a request.',
                 same=fingerprint,
-                crashes=self._ledger.crash_count(fingerprint),
+                crashes=self._registry.crash_count(fingerprint),
             )
             for cut in tuple(self._waiting.get(fingerprint, ())):
                 cut()
         for fingerprint in self._blocked - blocked:
             _log.info('Lets a request through again.', same=fingerprint)
         self._blocked = blocked
-        self._probes.update(self._ledger.ambiguous)
+        self._probes.update(self._registry.ambiguous)
         BLOCKED_REQUESTS.set(len(blocked))
--- a/packages/daemon/src/lacewing_daemon/lease.py
+++ b/packages/daemon/src/lacewing_daemon/lease.py
@@ -13,8 +13,8 @@
 from uuid import uuid4
 
 import msgspec
-from lacewing_common.put_resolving import put_resolving
-from lacewing_common.put_resolving import ResolvePolicy
+from lacewing_common.resolved_put import put_with_resolution
+from lacewing_common.resolved_put import ResolvePolicy
 from lacewing_common.store import MUST_NOT_EXIST
 from lacewing_common.store import SingleObjects
 from lacewing_common.store import StoredObject
@@ -309,7 +309,7 @@
         record = LeaseRecord(
             holder, uuid4().hex, self._duration_s, acted_ago_s, self._era
         )
-        return await put_resolving(
+        return await put_with_resolution(
             self._store,
             LEASES,
             self._name,
--- a/packages/daemon/src/lacewing_daemon/peers/_members.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_members.py
@@ -63,7 +63,7 @@
                 found.append(address)
         return tuple(found)
 
-    def leaving(self, address: str) -> bool:
+    def is_leaving(self, address: str) -> bool:
         """Tell whether an agent or its VM is leaving."""
         newest = self._fresh_index().agents.get(address)
         if newest is not None and newest.leaving:
--- a/packages/daemon/src/lacewing_daemon/peers/_node.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_node.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Any
 
-from lacewing_common.document import DocumentGuard
 from lacewing_common.document import DocumentKind
+from lacewing_common.document import DocumentValidator
 from lacewing_common.identity import ProcessName
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
@@ -48,7 +48,7 @@
         self,
         name: ProcessName,
         settings: Settings,
-        guards: Mapping[DocumentKind, DocumentGuard],
+        guards: Mapping[DocumentKind, DocumentValidator],
         contacts: Callable[[], tuple[str, ...]],
         rng: Random,
         channels: Channels | None = None,
@@ -63,7 +63,7 @@
             channels = Channels(client_context(settings))
         self._channels = channels
         self._fetcher = Fetcher(self._replicas, self._channels, rng)
-        self._news = GossipUpdates(
+        self._updates = GossipUpdates(
             self._table,
             self._notes,
             self._replicas,
@@ -73,7 +73,7 @@
         self._gossip = Gossip(
             settings.peers,
             self._table,
-            self._news,
+            self._updates,
             Partners(self._table, rng),
             self._channels,
             rng,
@@ -81,7 +81,7 @@
             self._clock,
         )
         self._service = PeerService(
-            self._news,
+            self._updates,
             self._table,
             self._notes,
             self._replicas,
@@ -141,7 +141,7 @@
     @property
     def pending_updates(self) -> int:
         """Return how many pieces of news are still being told."""
-        return self._news.pending_count
+        return self._updates.pending_count
 
     @property
     def has_peers(self) -> bool:
--- a/packages/daemon/src/lacewing_daemon/peers/_replicas.py
+++ b/packages/daemon/src/lacewing_daemon/peers/_replicas.py
@@ -6,10 +6,10 @@
 import msgspec
 import xxhash
 from lacewing_common.document import Document
-from lacewing_common.document import DocumentGuard
 from lacewing_common.document import DocumentHead
 from lacewing_common.document import DocumentKind
 from lacewing_common.document import DocumentName
+from lacewing_common.document import DocumentValidator
 from lacewing_common.document import part_digest
 from lacewing_common.log import get_log
 from lacewing_common.log import Part
@@ -28,7 +28,9 @@
     process with a wrong document would spread it over the fleet.
     """
 
-    def __init__(self, guards: Mapping[DocumentKind, DocumentGuard]) -> None:
+    def __init__(
+        self, guards: Mapping[DocumentKind, DocumentValidator]
+    ) -> None:
         self._guards = guards
         self._documents: dict[DocumentName, Document] = {}
         self._parts: dict[str, bytes] = {}
--- a/packages/daemon/src/lacewing_daemon/placement/_plan_store.py
+++ b/packages/daemon/src/lacewing_daemon/placement/_plan_store.py
@@ -9,20 +9,20 @@
 from lacewing_common.document_objects import head_object
 from lacewing_common.document_objects import HEADS
 from lacewing_common.document_objects import PARTS
-from lacewing_common.patience import Patience
-from lacewing_common.patience import put_part
 from lacewing_common.plan import Plan
 from lacewing_common.plan import plan_document
 from lacewing_common.plan import plan_name
 from lacewing_common.plan_objects import read_plan_document
-from lacewing_common.put_resolving import put_resolving
+from lacewing_common.resolved_put import put_with_resolution
+from lacewing_common.retries import put_part
+from lacewing_common.retries import RetryPolicy
 from lacewing_common.store import MUST_NOT_EXIST
 from lacewing_common.store import ObjectStore
 from lacewing_common.store import StoredObject
 from lacewing_common.store import StoreError
 from lacewing_common.store import StoreFault
 
-_PATIENCE = Patience(give_up_after_s=5.0)
+_PATIENCE = RetryPolicy(give_up_after_s=5.0)
 
 
 class PlanStore:
@@ -70,7 +70,7 @@
             )
             if error is not None:
                 return error
-        answer = await put_resolving(
+        answer = await put_with_resolution(
             self._store,
             HEADS,
             head_name,
--- a/packages/daemon/src/lacewing_daemon/refusals.py
+++ b/packages/daemon/src/lacewing_daemon/refusals.py
@@ -21,7 +21,7 @@
         self._last = refusal
         self._verdict = _stronger(self._verdict, refusal.verdict)
 
-    def final(self, refusal: Refusal) -> Refusal:
+    def final_refusal(self, refusal: Refusal) -> Refusal:
         """Return what to tell the caller when no further attempt is made.
 
         The last worker's "not run" says nothing of the ones before: told
--- a/packages/daemon/src/lacewing_daemon/rendezvous.py
+++ b/packages/daemon/src/lacewing_daemon/rendezvous.py
@@ -11,12 +11,12 @@
 MAX_WIDTH = 16
 
 
-def best(key: bytes, process_ids: tuple[str, ...]) -> str:
+def highest_ranked(key: bytes, process_ids: tuple[str, ...]) -> str:
     """Return the worker of highest weight for an 8-byte key."""
-    return ranked(key, process_ids, 1)[0]
+    return rank_workers(key, process_ids, 1)[0]
 
 
-def ranked(
+def rank_workers(
     key: bytes, process_ids: tuple[str, ...], count: int
 ) -> tuple[str, ...]:
     """Return the ``count`` workers of highest weight, best first."""
@@ -29,7 +29,7 @@
     return tuple(process_ids[index] for index in top)
 
 
-class Rankings:
+class RankingCache:
     """Keep the rankings of recent keys over one set of workers."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
             self._kept.clear()
         kept = self._kept.get(key)
         if kept is None:
-            kept = ranked(key, process_ids, MAX_WIDTH)
+            kept = rank_workers(key, process_ids, MAX_WIDTH)
             self._kept[key] = kept
             if len(self._kept) > KEPT_RANKINGS:
                 self._kept.popitem(last=False)
--- a/packages/daemon/src/lacewing_daemon/router/_baselines.py
+++ b/packages/daemon/src/lacewing_daemon/router/_baselines.py
@@ -7,7 +7,7 @@
 from lacewing_common.verdict import Reason
 from lacewing_common.verdict import Refusal
 
-from lacewing_daemon.rendezvous import best
+from lacewing_daemon.rendezvous import highest_ranked
 from lacewing_daemon.router._policy import CacheChange
 from lacewing_daemon.router._policy import Choice
 from lacewing_daemon.router._policy import Observation
@@ -108,7 +108,9 @@
         worker = self._rng.choice(workers.ids)
         levels = request.chain.levels
         if levels:
-            worker = best(request.chain.blocks[levels[0] - 1], workers.ids)
+            worker = highest_ranked(
+                request.chain.blocks[levels[0] - 1], workers.ids
+            )
         return Choice(worker, PolicyName.PREFIX_HASH.value)
 
 
--- a/packages/daemon/src/lacewing_daemon/router/_candidates.py
+++ b/packages/daemon/src/lacewing_daemon/router/_candidates.py
@@ -5,8 +5,8 @@
 
 from lacewing_common.prefix import PrefixChain
 
-from lacewing_daemon.rendezvous import best
-from lacewing_daemon.rendezvous import Rankings
+from lacewing_daemon.rendezvous import highest_ranked
+from lacewing_daemon.rendezvous import RankingCache
 from lacewing_daemon.router._hints import Held
 from lacewing_daemon.router._policy import Workers
 
@@ -38,7 +38,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._rankings = Rankings()
+        self._rankings = RankingCache()
 
     def find(
         self,
@@ -79,7 +79,7 @@
     """
     homes = dict.fromkeys(top, chain.levels[0])
     for level in chain.levels[1:-1]:
-        home = best(chain.blocks[level - 1], top)
+        home = highest_ranked(chain.blocks[level - 1], top)
         homes[home] = level
     return homes
 
--- a/packages/daemon/src/lacewing_daemon/router/_claimed_choice.py
+++ b/packages/daemon/src/lacewing_daemon/router/_claimed_choice.py
@@ -5,7 +5,7 @@
 from lacewing_common.claim_key import range_point
 from lacewing_common.verdict import Refusal
 
-from lacewing_daemon.rendezvous import best
+from lacewing_daemon.rendezvous import highest_ranked
 from lacewing_daemon.router._baselines import no_worker
 from lacewing_daemon.router._call import Call
 from lacewing_daemon.router._policy import Choice
@@ -35,4 +35,4 @@
     service = call.service.name
     key = claim_key(call.team.name, service, call.asked.idempotency_key)
     point = range_point(service, range_of(key))
-    return Choice(best(point, workers.ids), _POLICY)
+    return Choice(highest_ranked(point, workers.ids), _POLICY)
--- a/packages/daemon/src/lacewing_daemon/router/_exchange.py
+++ b/packages/daemon/src/lacewing_daemon/router/_exchange.py
@@ -304,7 +304,7 @@
 
     def _told(self, refusal: Refusal) -> Refusal:
         if not self._reply.started:
-            return self._refusals.final(refusal)
+            return self._refusals.final_refusal(refusal)
         return Refusal(
             Verdict.RAN,
             Reason.STREAM_BROKEN,
--- a/packages/daemon/src/lacewing_daemon/router/_expected_cost.py
+++ b/packages/daemon/src/lacewing_daemon/router/_expected_cost.py
@@ -13,8 +13,8 @@
 
 from lacewing_common.bundle import PolicyName
 from lacewing_common.identity import Place
-from lacewing_common.learnt import Chance
-from lacewing_common.learnt import PrefillCost
+from lacewing_common.online_estimates import PrefillCost
+from lacewing_common.online_estimates import RateEstimate
 from lacewing_common.verdict import Refusal
 
 from lacewing_daemon.router._baselines import no_worker
@@ -62,7 +62,7 @@
         self._widths = Widths()
         self._prefill = PrefillCost()
         self._scorer = Scorer(place, rng, self._prefill)
-        self._home = Chance()
+        self._home = RateEstimate()
         self._open: dict[str, _Open] = {}
 
     def prepare(self, request: RoutingRequest, workers: Workers) -> None:
@@ -133,12 +133,12 @@
             self._hints.judge(known, cache.hit_blocks)
         elif opened.home_blocks:
             share = min(1.0, cache.hit_blocks / opened.home_blocks)
-            self._home.learn(share)
+            self._home.update(share)
         if observation.first_token_ms is None:
             return
         missed = cache.prompt_blocks - cache.hit_blocks
         took_ms = observation.first_token_ms - opened.wait_ms
-        self._prefill.learn(missed, max(0.0, took_ms))
+        self._prefill.update(missed, max(0.0, took_ms))
 
     def _width(self, request: RoutingRequest, now_s: float) -> int:
         chain = request.chain
--- a/packages/daemon/src/lacewing_daemon/router/_links.py
+++ b/packages/daemon/src/lacewing_daemon/router/_links.py
@@ -17,7 +17,7 @@
 from lacewing_common.wire import Hello
 
 from lacewing_daemon.limits import TeamLimiter
-from lacewing_daemon.rendezvous import best
+from lacewing_daemon.rendezvous import highest_ranked
 from lacewing_daemon.router._knowledge import Knowledge
 from lacewing_daemon.router._link import Link
 from lacewing_daemon.router._policy import CacheChange
@@ -214,7 +214,7 @@
             if self._links[address].open_attempts == 0:
                 self._remove(address)
         leaving = frozenset(
-            address for address in self._links if members.leaving(address)
+            address for address in self._links if members.is_leaving(address)
         )
         if leaving != self._leaving:
             self._leaving = leaving
@@ -275,5 +275,5 @@
         if not holders:
             return False
         key = bucket.to_bytes(_BUCKET_KEY_BYTES, 'big')
-        holders[best(key, tuple(sorted(holders)))].send(demands)
+        holders[highest_ranked(key, tuple(sorted(holders)))].send(demands)
         return True
--- a/packages/daemon/src/lacewing_daemon/router/_score.py
+++ b/packages/daemon/src/lacewing_daemon/router/_score.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from lacewing_common.identity import Place
-from lacewing_common.learnt import PrefillCost
+from lacewing_common.online_estimates import PrefillCost
 
 from lacewing_daemon.router._policy import Estimate
 from lacewing_daemon.router._policy import RoutingRequest
--- a/packages/daemon/src/lacewing_daemon/runtime.py
+++ b/packages/daemon/src/lacewing_daemon/runtime.py
@@ -12,7 +12,7 @@
 from lacewing_common.settings import Settings
 from lacewing_common.store import ObjectStore
 
-from lacewing_daemon._peers_server import PeerServed
+from lacewing_daemon._peers_server import GrpcService
 from lacewing_daemon.peers import PeerNode
 
 
@@ -33,11 +33,11 @@
     def agent_addresses(self) -> tuple[str, ...]:
         """Return ``ip:port`` of each agent not known to have left."""
 
-    def leaving(self, address: str) -> bool:
+    def is_leaving(self, address: str) -> bool:
         """Tell whether the platform says that an agent's VM is leaving."""
 
 
-class Ready(Protocol):
+class ReadinessCheck(Protocol):
     """Tell whether a role can serve."""
 
     def __call__(self) -> bool:
@@ -89,7 +89,7 @@
         """Enter that this process did something."""
 
 
-class NoAudit:
+class NullAuditSink:
     """Be the sink of a role that runs without a daemon."""
 
     def report(
@@ -104,7 +104,7 @@
 
 
 @runtime_checkable
-class Explains(Protocol):
+class ExplanationProvider(Protocol):
     """Tell how a request was routed; a router does."""
 
     def explain(self, request_id: str) -> object | None:
@@ -126,6 +126,6 @@
     members: MemberSource
     stopping: asyncio.Event
     store: ObjectStore | None = None
-    peer_services: tuple[PeerServed, ...] = ()
-    audit: AuditSink = NoAudit()
+    peer_services: tuple[GrpcService, ...] = ()
+    audit: AuditSink = NullAuditSink()
     node: PeerNode | None = None
