--- a/features/ctl_bundle.feature
+++ b/features/ctl_bundle.feature
@@ -1,10 +1,10 @@
-Feature: Operators edit, sign, roll and roll back from the command line
+Feature: Operators edit, sign, roll and roll back bundles with lacewingctl
 
-  Scenario: From the first key to a rollback
+  Scenario: A bundle is created, rolled and rolled back
     Given a platform over HTTP and the operators "ana, bob" with keys
     And two processes that follow the platform
     When "ana" runs "bundle new draft.json"
-    And the draft "draft.json" gets teams, services and models
+    And teams, services and models are added to the draft "draft.json"
     And "ana" runs "bundle validate draft.json"
     Then it ends with 0 and prints "valid"
     When "ana" runs "bundle roll draft.json"
@@ -23,20 +23,20 @@
     Then it ends with 0 and prints "roll 3"
     When "ana" runs "bundle history --json"
     Then it ends with 0
-    And its JSON has 3 rows
+    And its JSON output has 3 rows
     When "ana" runs "bundle show --number 2"
     Then it ends with 0 and prints "(hidden)"
     When "bob" runs "audit --limit 0"
     Then it ends with 0 and prints "roll-back"
 
-  Scenario: A lost race, a lost answer and a second run
+  Scenario: A conflict, lost answers and a repeated roll
     Given a platform over HTTP and the operators "ana, bob" with keys
     And "ana" has rolled a first bundle from "draft.json"
     When "bob" runs "bundle edit bobs.json --set teams.team-0.share=4"
     And "bob" runs "bundle sign bobs.json"
     And "ana" runs "bundle edit draft.json --set teams.team-0.share=5"
     And "ana" runs "bundle sign draft.json"
-    And the next 4 answers of the platform get lost
+    And the next 4 answers of the platform are lost
     And "ana" runs "bundle roll draft.json"
     Then it ends with 0 and prints "roll 2"
     When "ana" runs "bundle roll draft.json"
@@ -50,28 +50,28 @@
   Scenario: Processes that do not confirm are named
     Given a platform over HTTP and the operators "ana, bob" with keys
     And "ana" has rolled a first bundle from "draft.json"
-    And two processes of which one is stuck at roll 1
+    And two processes, one of them stuck at roll 1
     When "ana" runs "bundle edit draft.json --set teams.team-0.share=5"
     And "ana" runs "bundle sign draft.json"
     And "ana" runs "bundle roll draft.json --fleet fleet.json --wait-s 0.1"
     Then it ends with 9 and prints "1 of 2 processes confirm"
     And it ends with 9 and warns "router-2 has roll 1"
 
-  Scenario: A platform that was restored from a copy gives no used numbers
-    # Symptom: rolls take effect at the platform and nowhere else, and the
-    # operator is told that all processes confirm. Sequence: the platform is
-    # restored from a copy of roll 1 while the fleet has roll 45 in force; the
-    # next roll is number 2. Cause: a higher number taken as confirmation.
+  Scenario: A roll reuses no number after the platform is restored
+    # The platform is restored from a snapshot of roll 1 while roll 45 is
+    # active at the fleet, so the next roll gets number 2 and takes effect at
+    # the platform only. A higher number was accepted as confirmation, so the
+    # operator was told that all processes confirm.
     Given a platform over HTTP and the operators "ana, bob" with keys
     And "ana" has rolled a first bundle from "draft.json"
-    And two processes of which one is stuck at roll 45
+    And two processes, one of them stuck at roll 45
     When "ana" runs "bundle edit draft.json --set teams.team-0.share=5"
     And "ana" runs "bundle sign draft.json"
     And "ana" runs "bundle roll draft.json --fleet fleet.json --wait-s 0.1"
     Then it ends with 9 and warns "router-2 has roll 45, a later one"
     When "ana" runs "bundle edit draft.json --set teams.team-0.share=6"
     And "ana" runs "bundle sign draft.json"
-    And the next 4 answers of the platform get lost
+    And the next 4 answers of the platform are lost
     And "ana" runs "bundle roll draft.json --above 45"
     Then it ends with 0 and prints "roll 46"
     When "bob" runs "bundle edit bobs.json --set policies.separate_approver=true"
@@ -81,7 +81,7 @@
     When "bob" runs "audit --limit 0"
     Then it ends with 0 and prints "roll 46"
 
-  Scenario: Two persons sign when the policy in force asks for it
+  Scenario: The active policy requires a separate approver
     Given a platform over HTTP and the operators "ana, bob" with keys
     And "ana" has rolled a first bundle from "draft.json"
     When "ana" runs "bundle edit draft.json --set policies.separate_approver=true"
@@ -96,7 +96,7 @@
     When "ana" runs "bundle roll draft.json"
     Then it ends with 0 and prints "roll 3"
 
-  Scenario: Wrong drafts and wrong usage
+  Scenario: Invalid drafts and invalid usage
     Given a platform over HTTP and the operators "ana, bob" with keys
     When "ana" runs "bundle new draft.json"
     And "ana" runs "bundle edit draft.json --set servces=[]"
--- a/features/steps/ctl_bundle_steps.py
+++ b/features/steps/ctl_bundle_steps.py
@@ -1,4 +1,4 @@
-"""Run lacewingctl as operators do."""
+"""Steps that run lacewingctl against a platform over HTTP."""
 
 import shlex
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 @given('a platform over HTTP and the operators "{names}" with keys')
 def start(context: Context, names: str) -> None:
-    """Start the platform and make keys and profiles."""
+    """Start the platform and create keys and profiles."""
     directory = context.resources.enter_context(TemporaryDirectory())
     loop = LoopThread()
     context.resources.callback(loop.close)
@@ -28,7 +28,7 @@
 
 @given('"{operator}" has rolled a first bundle from "{file}"')
 def roll_first(context: Context, operator: str, file: str) -> None:
-    """Make, sign and roll a valid bundle."""
+    """Create, sign and roll a valid bundle."""
     bench = context.ctl_bench
     bench.run(operator, ['bundle', 'new', file])
     bench.fill(file)
@@ -37,15 +37,15 @@
     assert bench.ended.returncode == 0, bench.ended.stderr
 
 
-@given('two processes of which one is stuck at roll {number:d}')
+@given('two processes, one of them stuck at roll {number:d}')
 def start_stuck(context: Context, number: int) -> None:
-    """Start operators' listeners."""
+    """Start two operators' listeners, one with a constant roll."""
     context.ctl_bench.start_processes(number)
 
 
 @given('two processes that follow the platform')
 def start_following(context: Context) -> None:
-    """Start operators' listeners."""
+    """Start two operators' listeners that report the latest roll."""
     context.ctl_bench.start_processes(0)
 
 
@@ -56,15 +56,15 @@
     bench.run(operator, shlex.split(command))
 
 
-@when('the draft "{file}" gets teams, services and models')
-def fill(context: Context, file: str) -> None:
-    """Edit the draft by hand."""
+@when('teams, services and models are added to the draft "{file}"')
+def add_contents(context: Context, file: str) -> None:
+    """Edit the file of the draft."""
     context.ctl_bench.fill(file)
 
 
-@when('the next {count:d} answers of the platform get lost')
-def lose(context: Context, count: int) -> None:
-    """Lose answers to writes."""
+@when('the next {count:d} answers of the platform are lost')
+def lose_answers(context: Context, count: int) -> None:
+    """Drop the answers to the next writes."""
     context.ctl_bench.set_faults(FaultSwitches(lose_next=count))
 
 
@@ -92,13 +92,13 @@
 
 
 @then('only the owner can read "{file}"')
-def private(context: Context, file: str) -> None:
-    """Check the mode of a key file."""
+def owner_only(context: Context, file: str) -> None:
+    """Check the mode of a file."""
     mode = (context.ctl_bench.directory / file).stat().st_mode
     assert mode & 0o077 == 0, oct(mode)
 
 
-@then('its JSON has {count:d} rows')
+@then('its JSON output has {count:d} rows')
 def has_rows(context: Context, count: int) -> None:
     """Count the rows of a JSON list."""
     rows = msgspec.json.decode(context.ctl_bench.ended.stdout)
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -1,4 +1,4 @@
-"""Signal the daemons of a fleet and look at what they tell operators."""
+"""Steps that signal the daemons of a fleet and check their status."""
 
 import json
 import signal
@@ -18,7 +18,7 @@
 
 @when('"{name}" gets SIGTERM')
 def when_terminated(context: Context, name: str) -> None:
-    """Ask a process to stop."""
+    """Send SIGTERM to a process."""
     context.bench.fleet.process(name).send(signal.SIGTERM)
 
 
@@ -30,13 +30,13 @@
 
 @when('"{name}" is frozen')
 def when_frozen(context: Context, name: str) -> None:
-    """Stop a process so that it sees no SIGTERM."""
+    """Suspend a process, so that it does not handle SIGTERM."""
     context.bench.fleet.freeze(name)
 
 
 @when('"{name}" starts again')
 def when_restarted(context: Context, name: str) -> None:
-    """Start a killed process with its old addresses."""
+    """Restart a killed process with the same addresses."""
     context.bench.run(context.bench.fleet.restart(name))
 
 
@@ -48,12 +48,12 @@
 
 @when('a second router starts with the addresses of the first')
 def when_started_twice(context: Context) -> None:
-    """Start another process with the settings that name its ports."""
+    """Start a second process with the addresses of the first."""
     bench = context.bench
     daemon = bench.fleet.daemon('router-1')
-    last = daemon.addresses
+    in_use = daemon.addresses
     daemon.write_settings(
-        Listen(callers=last.callers, operators=last.operators)
+        Listen(callers=in_use.callers, operators=in_use.operators)
     )
     context.ended = subprocess.run(
         [
@@ -71,46 +71,46 @@
 
 @when('an operator asks for the status as JSON')
 def when_status_json(context: Context) -> None:
-    """Run lacewingctl on all processes."""
+    """Run lacewingctl status for the fleet with JSON output."""
     _run_ctl(context, ['--fleet', str(_fleet_file(context)), '--json'])
     context.report = json.loads(context.ctl.stdout)
 
 
 @when('an operator asks for the status as a table')
 def when_status_table(context: Context) -> None:
-    """Run lacewingctl on all processes."""
+    """Run lacewingctl status for the fleet with a table as output."""
     _run_ctl(context, ['--fleet', str(_fleet_file(context))])
 
 
 @when('an operator asks for the status without an address')
-def when_status_nowhere(context: Context) -> None:
-    """Run lacewingctl with nothing to ask."""
+def when_status_without_address(context: Context) -> None:
+    """Run lacewingctl status without an address."""
     _run_ctl(context, [])
 
 
 @when('bundle number {number:d} is in force at "{name}"')
 @then('bundle number {number:d} is in force at "{name}"')
-def when_in_force(context: Context, number: int, name: str) -> None:
+def when_active(context: Context, number: int, name: str) -> None:
     """Wait until a process reports a bundle number."""
     bench: FleetBench = context.bench
 
-    def in_force() -> bool:
+    def is_active() -> bool:
         return bench.status(name).bundle_number == number
 
-    bench.until_asked(in_force, f'bundle {number} at {name}')
+    bench.until_asked(is_active, f'bundle {number} at {name}')
 
 
 @then('lacewingctl exits with code {code:d}')
 def then_ctl_code(context: Context, code: int) -> None:
-    """Compare the exit code."""
+    """Check the exit code."""
     found = context.ctl.returncode
     assert found == code, (found, context.ctl.stdout, context.ctl.stderr)
 
 
 @then('it lists a router in "{zone}" with bundle number {number:d}')
 def then_lists_router(context: Context, zone: str, number: int) -> None:
-    """Look for the router."""
-    router = _listed(context, 'router')
+    """Check the status of the router."""
+    router = _find_listed(context, 'router')
     assert router['place']['availability_zone'] == zone, router
     assert router['bundle_number'] == number, router
     assert router['ready'], router
@@ -118,15 +118,15 @@
 
 @then('it lists an agent with the epoch of its worker')
 def then_lists_agent(context: Context) -> None:
-    """Compare the epoch with what the worker itself says."""
-    agent = _listed(context, 'agent')
+    """Compare the epoch with the one that the worker reports."""
+    agent = _find_listed(context, 'agent')
     worker = agent['process_id'].removeprefix('agent-')
     assert agent['epoch'] == context.bench.worker_epoch(worker), agent
 
 
 @then('the table names each process')
 def then_table(context: Context) -> None:
-    """Look for the names."""
+    """Check that the output contains each name."""
     fleet = context.bench.fleet
     for name in (*fleet.router_names, *fleet.agent_names):
         assert name in context.ctl.stdout, context.ctl.stdout
@@ -134,43 +134,43 @@
 
 @then('it names the address of "{name}" as unanswered')
 def then_unanswered(context: Context, name: str) -> None:
-    """Look for the address and a cause."""
+    """Check that the report has an error for the address."""
     address = context.bench.fleet.daemon(name).addresses.operators
     assert context.report['unanswered'].get(address), context.report
 
 
 @then('"{name}" exits with code {code:d}')
 def then_exits(context: Context, name: str, code: int) -> None:
-    """Wait for the end of a process."""
+    """Wait until a process ends and check its exit code."""
     process = context.bench.fleet.process(name)
     found = context.bench.run(process.ended())
     assert found == code, (found, process.output()[-1000:])
 
 
-@then('a link with a certificate of the authority is taken')
-def then_link_taken(context: Context) -> None:
-    """Connect as a process of the fleet does."""
+@then('a link with a certificate of the authority is accepted')
+def then_link_accepted(context: Context) -> None:
+    """Connect with the certificate of a fleet process."""
     bench = context.bench
-    assert bench.run(can_link(_agent(context), bench.tls))
+    assert bench.run(can_link(_agent_address(context), bench.tls))
 
 
 @then('a link without a certificate is refused')
 def then_no_certificate(context: Context) -> None:
     """Connect with TLS but without a certificate."""
-    assert not context.bench.run(can_link(_agent(context), None))
+    assert not context.bench.run(can_link(_agent_address(context), None))
 
 
 @then('a link with a certificate of another authority is refused')
 def then_other_authority(context: Context) -> None:
-    """Connect with a certificate that a stranger signed."""
+    """Connect with a certificate of an unknown authority."""
     bench = context.bench
     files = write_certificate(
         make_authority('stranger'), 'stranger', bench.directory
     )
-    assert not bench.run(can_link(_agent(context), files))
+    assert not bench.run(can_link(_agent_address(context), files))
 
 
-def _agent(context: Context) -> str:
+def _agent_address(context: Context) -> str:
     fleet = context.bench.fleet
     address: str = fleet.daemon(fleet.agent_names[0]).addresses.peers
     return address
@@ -190,9 +190,9 @@
     return path
 
 
-def _listed(context: Context, role: str) -> dict[str, Any]:
+def _find_listed(context: Context, role: str) -> dict[str, Any]:
     for process in context.report['processes']:
         if process['role'] == role:
-            found: dict[str, Any] = process
-            return found
+            listed: dict[str, Any] = process
+            return listed
     raise AssertionError((role, context.report))
--- a/features/support/ctl_bench.py
+++ b/features/support/ctl_bench.py
@@ -1,4 +1,4 @@
-"""Run lacewingctl for operators against a platform over HTTP."""
+"""Provide a test bench that runs lacewingctl against a platform."""
 
 import json
 import os
@@ -30,13 +30,13 @@
 
 class _Status(RequestHandler):
     def initialize(self, bench: 'CtlBench', name: str, stuck: int) -> None:
-        """Take whose status this is; ``stuck`` above 0 never moves on."""
+        """Set the name; ``stuck`` above 0 is a constant bundle number."""
         self._bench = bench
         self._name = name
         self._stuck = stuck
 
     def get(self) -> None:
-        """Answer as a process that follows the platform, or is stuck."""
+        """Answer with the latest bundle number or the stuck one."""
         number = self._stuck or self._bench.head_number()
         status = ProcessStatus(
             process_id=self._name,
@@ -54,27 +54,27 @@
         self.finish(msgspec.json.encode(status))
 
 
-def _log_nothing(_handler: object) -> None:
-    """Leave out the access log."""
+def _skip_access_log(_handler: object) -> None:
+    """Disable the access log."""
 
 
 class CtlBench:
-    """Hold operators' files, a platform and processes that confirm."""
+    """Run a platform, operators' listeners and lacewingctl."""
 
     def __init__(self, directory: Path, loop: LoopThread) -> None:
         self.directory = directory
         self._loop = loop
         self.server = PlatformServer(PlatformSettings())
         loop.call(self.server.start())
-        self.ended = self._no_run()
+        self.ended = self._empty_result()
         self._servers: list[HTTPServer] = []
 
     def close(self) -> None:
-        """Stop the platform."""
+        """Stop the listeners and the platform."""
         self._loop.call(self._stop())
 
     def head_number(self) -> int:
-        """Return the number of the head at the platform."""
+        """Return the version of the bundle head at the platform."""
         stored = self.server.service.objects.get(_HEAD)
         head = None if stored is None else decode_head(stored.value)
         return 0 if head is None else head.version
@@ -90,7 +90,7 @@
         return contents.digest
 
     def add_operators(self, names: list[str]) -> None:
-        """Make a key and a profile for each."""
+        """Create a key and a profile for each operator."""
         rows: list[object] = []
         for name in names:
             self.run(name, ['keys', 'new', name, '--out', f'{name}.key'])
@@ -106,7 +106,7 @@
             path.write_text(json.dumps(profile))
 
     def run(self, operator: str, arguments: list[str]) -> None:
-        """Run one command to its end."""
+        """Run one command and wait until it ends."""
         environment = dict(os.environ)
         environment['LACEWINGCTL_PROFILE'] = f'{operator}.profile'
         self.ended = subprocess.run(
@@ -119,16 +119,16 @@
         )
 
     def fill(self, file: str) -> None:
-        """Put teams, services and models into a draft."""
+        """Add teams, services and models to a draft."""
         path = self.directory / file
         raw = json.loads(path.read_text())
-        made = msgspec.to_builtins(make_bundle())
+        filled = msgspec.to_builtins(make_bundle())
         for name in ('teams', 'services', 'models'):
-            raw[name] = made[name]
+            raw[name] = filled[name]
         path.write_text(json.dumps(raw))
 
     def start_processes(self, stuck: int) -> None:
-        """Listen as two processes; ``stuck`` as in ``_Status``."""
+        """Start two operators' listeners; ``stuck`` as in ``_Status``."""
         self._loop.call(self._start_processes(stuck))
 
     def set_faults(self, faults: FaultSwitches) -> None:
@@ -146,7 +146,8 @@
         for name, number in (('router-1', 0), ('router-2', stuck)):
             arguments = {'bench': self, 'name': name, 'stuck': number}
             application = Application(
-                [('/status', _Status, arguments)], log_function=_log_nothing
+                [('/status', _Status, arguments)],
+                log_function=_skip_access_log,
             )
             server = HTTPServer(application)
             self._servers.append(server)
@@ -157,5 +158,5 @@
         path.write_text(json.dumps({'operators': addresses}))
 
     @staticmethod
-    def _no_run() -> 'subprocess.CompletedProcess[str]':
+    def _empty_result() -> 'subprocess.CompletedProcess[str]':
         return subprocess.CompletedProcess([], 0, '', '')
--- a/packages/ctl/src/lacewing_ctl/__init__.py
+++ b/packages/ctl/src/lacewing_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""lacewing_ctl."""
+"""Provide lacewingctl, the command line tool of operators."""
--- a/packages/ctl/src/lacewing_ctl/_commands/__init__.py
+++ b/packages/ctl/src/lacewing_ctl/_commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what changes something."""
+"""Implement the commands that change something."""
--- a/packages/ctl/src/lacewing_ctl/_commands/draft.py
+++ b/packages/ctl/src/lacewing_ctl/_commands/draft.py
@@ -1,4 +1,4 @@
-"""Make, edit and sign a draft of the bundle."""
+"""Create, edit and sign drafts of the bundle."""
 
 import secrets
 from datetime import datetime
@@ -26,8 +26,8 @@
 from lacewing_ctl._profile import find_profile
 from lacewing_ctl._session import in_session
 
-_SECRET_BYTES = 32
-_PATIENCE_S = 10.0
+_PREFIX_SECRET_BYTES = 32
+_RETRY_LIMIT_S = 10.0
 
 
 def new(file: str, profile: str = '') -> None:
@@ -43,7 +43,7 @@
         exit_with(Exit.USAGE, f'{file} exists')
     bundle = Bundle(
         operators=found.root_operators,
-        prefix_secret=secrets.token_hex(_SECRET_BYTES),
+        prefix_secret=secrets.token_hex(_PREFIX_SECRET_BYTES),
     )
     draft.write(bundle)
     draft.write_signing(Signing())
@@ -70,14 +70,14 @@
     if fetch_again or not draft.path.exists():
         fetched = in_session(
             find_profile(profile),
-            _PATIENCE_S,
-            lambda open_: fetch_bundle(open_, 0),
+            _RETRY_LIMIT_S,
+            lambda session: fetch_bundle(session, 0),
         )
         draft.write(fetched.bundle)
         draft.write_signing(Signing(base=fetched.number))
         print_status(f'{file} is the bundle of roll {fetched.number}')
     if set:
-        _set(draft, set)
+        _apply_assignment(draft, set)
 
 
 def sign(file: str, key: str = '', role: str = '', profile: str = '') -> None:
@@ -94,7 +94,7 @@
     signing = draft.signing()
     operator = find_key(key, profile)
     digest = digest_of(bundle)
-    valid = _valid(signing.sign_offs, digest, operator.operator)
+    valid = _valid_sign_offs(signing.sign_offs, digest, operator.operator)
     signed = sign_off(digest, _role(role, valid), now(), operator)
     draft.write_signing(
         msgspec.structs.replace(signing, sign_offs=(*valid, signed))
@@ -103,7 +103,7 @@
 
 
 def find_key(key: str, profile: str) -> OperatorKey:
-    """Read the key file of the flag or of the profile; end without one."""
+    """Read the key file named by the flag or the profile, or exit."""
     path = str(key) or find_profile(profile).key
     if not path:
         exit_with(Exit.USAGE, 'expected --key FILE or a key in the profile')
@@ -114,11 +114,11 @@
 
 
 def now() -> str:
-    """Return the time in ISO 8601."""
+    """Return the current UTC time in ISO 8601 format."""
     return datetime.now(UTC).isoformat(timespec='seconds')
 
 
-def _set(draft: Draft, assignment: str) -> None:
+def _apply_assignment(draft: Draft, assignment: str) -> None:
     try:
         raw = msgspec.json.decode(draft.text())
         set_value(raw, str(assignment))
@@ -127,10 +127,10 @@
     draft.write_raw(raw)
 
 
-def _valid(
+def _valid_sign_offs(
     sign_offs: tuple[SignOff, ...], digest: str, signer: str
 ) -> tuple[SignOff, ...]:
-    """Drop sign-offs that an edit voided, and the signer's own."""
+    """Return the sign-offs of other operators for the current digest."""
     valid: list[SignOff] = []
     for signed in sign_offs:
         if signed.operator == signer:
--- a/packages/ctl/src/lacewing_ctl/_commands/keys.py
+++ b/packages/ctl/src/lacewing_ctl/_commands/keys.py
@@ -1,4 +1,4 @@
-"""Make an operator's key."""
+"""Create operators' keys."""
 
 from pathlib import Path
 
--- a/packages/ctl/src/lacewing_ctl/_commands/roll.py
+++ b/packages/ctl/src/lacewing_ctl/_commands/roll.py
@@ -1,4 +1,4 @@
-"""Put a bundle in force and see that the fleet has it."""
+"""Roll a bundle and confirm that it is active at the fleet."""
 
 import asyncio
 import secrets
@@ -26,7 +26,7 @@
 from lacewing_ctl._distribution import distribute
 from lacewing_ctl._draft import digest_of
 from lacewing_ctl._draft import Draft
-from lacewing_ctl._draft import order_of
+from lacewing_ctl._draft import make_roll_order
 from lacewing_ctl._draft import Signing
 from lacewing_ctl._exit import exit_with
 from lacewing_ctl._exit import print_status
@@ -41,7 +41,7 @@
 
 
 class RollReport(msgspec.Struct, frozen=True):
-    """Hold the outcome of a roll for ``--json``."""
+    """Hold the result of a roll for ``--json``."""
 
     number: int
     digest: str
@@ -79,15 +79,15 @@
     """
     found = find_profile(profile)
     operator = find_key(key, profile)
-    processes = _processes(fleet, found)
+    processes = _find_processes(fleet, found)
     draft = Draft(file)
     bundle = draft.bundle()
-    signing = _begin_try(draft, digest_of(bundle))
+    signing = _start_attempt(draft, digest_of(bundle))
     if signing.done:
         print_status(f'this draft took effect as roll {signing.done} before')
         done = RollResult(signing.done, signing.tried, 0)
         _finish(done, processes, wait_s, json)
-    order = order_of(bundle, signing, above, trust_since)
+    order = make_roll_order(bundle, signing, above, trust_since)
 
     async def work(session: Session) -> RollResult | RollError:
         return await _roll(session, order, signing.base, operator)
@@ -123,14 +123,14 @@
     """
     found = find_profile(profile)
     operator = find_key(key, profile)
-    processes = _processes(fleet, found)
+    processes = _find_processes(fleet, found)
 
     async def work(session: Session) -> RollResult | RollError:
-        stored = await session.reads.head()
+        stored = await session.bundle_history.head()
         if isinstance(stored, RollError):
             return stored
         order = await make_rollback(
-            session.reads, stored, number, now(), _nonce()
+            session.bundle_history, stored, number, now(), _nonce()
         )
         if isinstance(order, RollError):
             return order
@@ -148,7 +148,9 @@
     """
 
     async def work(session: Session) -> int | RollError:
-        return await append_rolls(session.trail, session.trails, session.reads)
+        return await append_rolls(
+            session.bundle_trail, session.audit_reader, session.bundle_history
+        )
 
     entered = in_session(find_profile(profile), platform_s, work)
     print(f'{entered} rolls entered')
@@ -157,11 +159,13 @@
 async def _roll(
     session: Session, order: RollOrder, base: int, key: OperatorKey
 ) -> RollResult | RollError:
-    rolled = await session.writes.roll(order, base, key)
+    rolled = await session.bundle_roller.roll(order, base, key)
     if isinstance(rolled, RollError):
-        await _enter_failure(session, order, key, rolled)
+        await _record_failure(session, order, key, rolled)
         return rolled
-    entered = await append_rolls(session.trail, session.trails, session.reads)
+    entered = await append_rolls(
+        session.bundle_trail, session.audit_reader, session.bundle_history
+    )
     if isinstance(entered, RollError):
         print_status(
             f'the audit trail was not written: {entered.message}; the next'
@@ -170,10 +174,10 @@
     return rolled
 
 
-async def _enter_failure(
+async def _record_failure(
     session: Session, order: RollOrder, key: OperatorKey, error: RollError
 ) -> None:
-    """Enter a roll that lost or was refused, as far as the platform allows."""
+    """Record a conflict or refusal in the audit trail if possible."""
     if error.fault not in (RollFault.CONFLICT, RollFault.REFUSED):
         return
     record = AuditRecord(
@@ -185,21 +189,21 @@
         after=order.digest,
         result=error.fault.value,
     )
-    failed = await session.trail.append((record,))
+    failed = await session.bundle_trail.append((record,))
     if failed is not None:
         print_status(f'the audit trail was not written: {failed.message}')
 
 
-def _begin_try(draft: Draft, digest: str) -> Signing:
-    """Keep nonce and time of a try before it can take effect."""
+def _start_attempt(draft: Draft, digest: str) -> Signing:
+    """Save the nonce and time of an attempt before it can take effect."""
     signing = draft.signing()
     if signing.tried == digest:
         return signing
-    fresh = msgspec.structs.replace(
+    started = msgspec.structs.replace(
         signing, tried=digest, nonce=_nonce(), at=now(), done=0
     )
-    draft.write_signing(fresh)
-    return fresh
+    draft.write_signing(started)
+    return started
 
 
 def _finish(
@@ -207,18 +211,20 @@
 ) -> NoReturn:
     unconfirmed: tuple[Unconfirmed, ...] = ()
     if fleet.operators:
-        unconfirmed = asyncio.run(_bring(rolled, fleet, wait_s, json))
+        unconfirmed = asyncio.run(
+            _distribute_and_confirm(rolled, fleet, wait_s, json)
+        )
     total = len(fleet.operators)
     if json:
         report = RollReport(rolled.number, rolled.digest, total, unconfirmed)
         print(msgspec.json.encode(report).decode())
     else:
         print(f'roll {rolled.number} of {rolled.digest[:12]} took effect')
-        _tell(total, unconfirmed)
+        _print_confirmations(total, unconfirmed)
     sys.exit(Exit.UNCONFIRMED if unconfirmed else Exit.OK)
 
 
-async def _bring(
+async def _distribute_and_confirm(
     rolled: RollResult, fleet: FleetFile, wait_s: float, quiet: bool
 ) -> tuple[Unconfirmed, ...]:
     if rolled.document is not None:
@@ -226,7 +232,9 @@
     return await confirm(fleet, rolled.number, rolled.digest, wait_s, quiet)
 
 
-def _tell(total: int, unconfirmed: tuple[Unconfirmed, ...]) -> None:
+def _print_confirmations(
+    total: int, unconfirmed: tuple[Unconfirmed, ...]
+) -> None:
     if not total:
         print('no fleet file: no process was asked')
         return
@@ -235,7 +243,7 @@
         print_status(f'{each.address} does not confirm: {each.why}')
 
 
-def _processes(fleet: str, profile: Profile) -> FleetFile:
+def _find_processes(fleet: str, profile: Profile) -> FleetFile:
     path = str(fleet) or profile.fleet
     if not path:
         return FleetFile(operators=())
--- a/packages/ctl/src/lacewing_ctl/_confirm.py
+++ b/packages/ctl/src/lacewing_ctl/_confirm.py
@@ -1,4 +1,4 @@
-"""Watch a fleet until each process has a roll in force."""
+"""Poll a fleet until a roll is active at each process."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
 from lacewing_ctl._operators_client import OperatorsClient
 from lacewing_ctl._operators_client import Unanswered
 
-_POLL_S = 0.2
+_POLL_INTERVAL_S = 0.2
 
 
 class Unconfirmed(msgspec.Struct, frozen=True):
-    """Name a process that does not have the roll in force, and why."""
+    """Hold the address of a process that does not confirm a roll, and why."""
 
     address: str
     why: str
@@ -23,52 +23,57 @@
 async def confirm(
     fleet: FleetFile, number: int, digest: str, wait_s: float, quiet: bool
 ) -> tuple[Unconfirmed, ...]:
-    """Ask each process until it has the roll in force.
+    """Poll each process until the roll is active there or time is up.
 
-    A higher number does not confirm: another operator may have rolled since,
-    or the platform was restored from a copy and gives numbers that the
-    fleet has used already; then the fleet would never take this roll.
+    A higher number is no confirmation: another operator may have rolled
+    since, or the platform was restored from an older snapshot and assigns
+    numbers that the fleet has already used. In that case the fleet would
+    never accept this roll.
     """
     client = OperatorsClient(fleet.tls)
     loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + wait_s
-    waiting: dict[str, str] = dict.fromkeys(fleet.operators, 'not asked yet')
+    deadline = loop.time() + wait_s
+    unconfirmed: dict[str, str] = dict.fromkeys(
+        fleet.operators, 'not asked yet'
+    )
     bar = tqdm(
-        total=len(waiting),
+        total=len(unconfirmed),
         desc=f'roll {number}',
         unit='process',
         disable=quiet,
     )
     try:
         while True:
-            await _ask(client, waiting, number, digest)
-            bar.update(bar.total - len(waiting) - bar.n)
-            if not waiting or loop.time() > give_up_at:
+            await _poll(client, unconfirmed, number, digest)
+            bar.update(bar.total - len(unconfirmed) - bar.n)
+            if not unconfirmed or loop.time() > deadline:
                 break
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
     finally:
         bar.close()
         client.close()
-    return tuple(Unconfirmed(*each) for each in waiting.items())
+    return tuple(Unconfirmed(*each) for each in unconfirmed.items())
 
 
-async def _ask(
+async def _poll(
     client: OperatorsClient,
-    waiting: dict[str, str],
+    unconfirmed: dict[str, str],
     number: int,
     digest: str,
 ) -> None:
-    addresses = tuple(waiting)
+    addresses = tuple(unconfirmed)
     answers = await client.get_all(addresses, '/status')
     for address, answer in zip(addresses, answers, strict=True):
-        why = _why_not(answer, number, digest)
+        why = _unconfirmed_reason(answer, number, digest)
         if why:
-            waiting[address] = why
+            unconfirmed[address] = why
             continue
-        del waiting[address]
+        del unconfirmed[address]
 
 
-def _why_not(answer: bytes | Unanswered, number: int, digest: str) -> str:
+def _unconfirmed_reason(
+    answer: bytes | Unanswered, number: int, digest: str
+) -> str:
     if isinstance(answer, Unanswered):
         return f'gave no answer: {answer.message}'
     try:
--- a/packages/ctl/src/lacewing_ctl/_distribution.py
+++ b/packages/ctl/src/lacewing_ctl/_distribution.py
@@ -1,4 +1,4 @@
-"""Hand a roll to a few processes, so that the platform may go down."""
+"""Send a roll to a few processes, in case the platform goes down."""
 
 import random
 
@@ -9,27 +9,27 @@
 from lacewing_ctl._operators_client import OperatorsClient
 from lacewing_ctl._operators_client import Unanswered
 
-_RECEIVERS = 3
+_RECEIVER_COUNT = 3
 _PATH = '/documents'
 
 
 async def distribute(fleet: FleetFile, document: Document) -> int:
-    """Give a document to three processes; return how many took it.
+    """Send a document to three processes; return how many accepted it.
 
-    Processes that watch the platform may not hear of a roll if it goes down
-    in the moment that it has accepted it: the roll would be in force
-    nowhere until it is back. Those that take it pass it on.
+    If the platform goes down just after it accepted a roll, the processes
+    that watch it may not receive the roll, which would then be active
+    nowhere until the platform is back. Receivers pass it on to their peers.
     """
     client = OperatorsClient(fleet.tls)
     body = msgspec.msgpack.encode(document)
-    waiting = list(fleet.operators)
-    random.shuffle(waiting)
-    taken = 0
+    remaining = list(fleet.operators)
+    random.shuffle(remaining)
+    accepted_count = 0
     try:
-        while waiting and taken < _RECEIVERS:
-            answer = await client.post(waiting.pop(), _PATH, body)
+        while remaining and accepted_count < _RECEIVER_COUNT:
+            answer = await client.post(remaining.pop(), _PATH, body)
             if not isinstance(answer, Unanswered):
-                taken += 1
+                accepted_count += 1
     finally:
         client.close()
-    return taken
+    return accepted_count
--- a/packages/ctl/src/lacewing_ctl/_draft.py
+++ b/packages/ctl/src/lacewing_ctl/_draft.py
@@ -1,4 +1,4 @@
-"""Keep the bundle that an operator works on, beside its sign-offs."""
+"""Read and write the draft of a bundle and its sign-offs."""
 
 from pathlib import Path
 
@@ -14,20 +14,20 @@
 
 from lacewing_ctl._exit import exit_with
 
-_SUFFIX = '.signoff'
+_SIGNING_SUFFIX = '.signoff'
 _INDENT = 2
-_OWNER_ONLY = 0o600
+_OWNER_ONLY_MODE = 0o600
 
 
 class Signing(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Hold what belongs to a draft but not into the bundle.
+    """Hold the state of a draft that is not part of the bundle.
 
-    ``base`` is the roll it was edited from, 0 for none. ``nonce`` and ``at``
-    are those of the last try to roll the digest ``tried``; they are written
-    before the try, so that one cut off by a crash is found again. ``done`` is
-    the number under which it took effect, 0 before.
+    ``base`` is the roll that the draft was edited from, 0 for none. ``nonce``
+    and ``at`` belong to the last attempt to roll the digest ``tried``. They
+    are written before the attempt, so that one interrupted by a crash can be
+    found again. ``done`` is the number of the roll that took effect, 0 before.
     """
 
     base: int = 0
@@ -39,11 +39,13 @@
 
 
 class Draft:
-    """Hold the paths of a draft and read and write its files."""
+    """Read and write the files of a draft."""
 
     def __init__(self, file: str) -> None:
         self._path = Path(str(file))
-        self._signing_path = self._path.with_name(self._path.name + _SUFFIX)
+        self._signing_path = self._path.with_name(
+            self._path.name + _SIGNING_SUFFIX
+        )
 
     @property
     def path(self) -> Path:
@@ -51,18 +53,18 @@
         return self._path
 
     def text(self) -> bytes:
-        """Return the JSON text; end when there is none."""
+        """Return the JSON text, or exit if it can't be read."""
         try:
             return self._path.read_bytes()
         except OSError as error:
             exit_with(Exit.USAGE, f'bundle {self._path}: {error}')
 
     def check(self) -> Bundle | tuple[Problem, ...]:
-        """Read the bundle and check all of it."""
+        """Read and validate the bundle."""
         return read_bundle_text(self.text())
 
     def bundle(self) -> Bundle:
-        """Read the bundle; end with its problems if it has any."""
+        """Read the bundle; print its problems and exit if it has any."""
         checked = self.check()
         if isinstance(checked, Bundle):
             return checked
@@ -70,7 +72,7 @@
         exit_with(Exit.INVALID, f'{self._path}:\n  {lines}')
 
     def signing(self) -> Signing:
-        """Read base and sign-offs; end when they are malformed."""
+        """Read the signing state, or exit if it is malformed."""
         try:
             text = self._signing_path.read_bytes()
         except FileNotFoundError:
@@ -83,21 +85,21 @@
             exit_with(Exit.USAGE, f'sign-offs {self._signing_path}: {error}')
 
     def write(self, bundle: Bundle) -> None:
-        """Write the bundle for people to edit."""
+        """Write the bundle as indented JSON."""
         text = msgspec.json.format(msgspec.json.encode(bundle), indent=_INDENT)
-        _replace(self._path, text + b'\n')
+        _write_atomically(self._path, text + b'\n')
 
     def write_raw(self, raw: object) -> None:
-        """Write edited JSON, valid or not."""
+        """Write edited JSON without validating it."""
         text = msgspec.json.format(msgspec.json.encode(raw), indent=_INDENT)
-        _replace(self._path, text + b'\n')
+        _write_atomically(self._path, text + b'\n')
 
     def write_signing(self, signing: Signing) -> None:
-        """Write base and sign-offs."""
+        """Write the signing state."""
         text = msgspec.json.format(
             msgspec.json.encode(signing), indent=_INDENT
         )
-        _replace(self._signing_path, text + b'\n')
+        _write_atomically(self._signing_path, text + b'\n')
 
 
 def digest_of(bundle: Bundle) -> str:
@@ -105,10 +107,10 @@
     return contents_of_parts(split(bundle)).digest
 
 
-def order_of(
+def make_roll_order(
     bundle: Bundle, signing: Signing, above: int, trust_since: int
 ) -> RollOrder:
-    """Make the order of a draft that is about to be tried."""
+    """Make the order to roll a draft."""
     return RollOrder(
         parts=split(bundle),
         sign_offs=signing.sign_offs,
@@ -119,13 +121,13 @@
     )
 
 
-def _replace(path: Path, text: bytes) -> None:
-    """Write a file whole or not at all, for its owner alone.
+def _write_atomically(path: Path, text: bytes) -> None:
+    """Replace a file atomically, readable only by its owner.
 
-    A draft holds the prefix secret.
+    A draft contains the prefix secret.
     """
-    fresh = path.with_name(path.name + '.new')
-    fresh.unlink(missing_ok=True)
-    fresh.touch(mode=_OWNER_ONLY)
-    fresh.write_bytes(text)
-    fresh.replace(path)
+    temporary = path.with_name(path.name + '.new')
+    temporary.unlink(missing_ok=True)
+    temporary.touch(mode=_OWNER_ONLY_MODE)
+    temporary.write_bytes(text)
+    temporary.replace(path)
--- a/packages/ctl/src/lacewing_ctl/_edit.py
+++ b/packages/ctl/src/lacewing_ctl/_edit.py
@@ -1,4 +1,4 @@
-"""Set one value in the JSON of a bundle, named by a path."""
+"""Set the value at a path in the JSON of a bundle."""
 
 from typing import Any
 
@@ -6,13 +6,13 @@
 
 
 class EditError(ValueError):
-    """Say which step of the path was not found, and what is there."""
+    """Report a malformed assignment or a path step that does not exist."""
 
 
 def set_value(raw: Any, assignment: str) -> None:
-    """Carry out ``path=JSON``, with a path as ``bundle diff`` prints it.
+    """Apply ``path=JSON``, with a path as ``bundle diff`` prints it.
 
-    Elements of a list are named by their name, such as ``teams.brno.share``.
+    List elements are addressed by name, such as in ``teams.brno.share``.
     """
     path, equals, text = assignment.partition('=')
     if not equals or not path:
@@ -30,7 +30,7 @@
 def _descend(raw: Any, step: str, path: str) -> Any:
     if isinstance(raw, dict):
         if step not in raw:
-            raise _absent(step, path, raw)
+            raise _not_found_error(step, path, raw)
         return raw[step]
     return raw[_index(raw, step, path)]
 
@@ -51,8 +51,8 @@
         if name == step:
             return index
         names.append(str(name))
-    raise _absent(step, path, names)
+    raise _not_found_error(step, path, names)
 
 
-def _absent(step: str, path: str, known: Any) -> EditError:
+def _not_found_error(step: str, path: str, known: Any) -> EditError:
     return EditError(f'{path}: no {step!r} among {", ".join(known)}')
--- a/packages/ctl/src/lacewing_ctl/_exit.py
+++ b/packages/ctl/src/lacewing_ctl/_exit.py
@@ -1,4 +1,4 @@
-"""End a command with an exit code and a line for its reader."""
+"""Print status lines and exit with the code of an error."""
 
 import sys
 from typing import NoReturn
@@ -7,7 +7,7 @@
 from lacewing_common.rolls import RollError
 from lacewing_common.rolls import RollFault
 
-_CODES = {
+_EXIT_CODES = {
     RollFault.CONFLICT: Exit.CONFLICT,
     RollFault.REFUSED: Exit.REFUSED,
     RollFault.NOT_FOUND: Exit.FAILED,
@@ -17,16 +17,16 @@
 
 
 def exit_with(code: Exit, message: str) -> NoReturn:
-    """Print a line to standard error and end."""
+    """Print a line to standard error and exit."""
     print(f'lacewingctl: {message}', file=sys.stderr)
     sys.exit(code)
 
 
 def exit_with_error(error: RollError) -> NoReturn:
-    """End with the code that fits the fault."""
-    exit_with(_CODES[error.fault], error.message)
+    """Exit with the code of the fault."""
+    exit_with(_EXIT_CODES[error.fault], error.message)
 
 
 def print_status(message: str) -> None:
-    """Print a line to standard error and go on."""
+    """Print a line to standard error."""
     print(f'lacewingctl: {message}', file=sys.stderr)
--- a/packages/ctl/src/lacewing_ctl/_fetch.py
+++ b/packages/ctl/src/lacewing_ctl/_fetch.py
@@ -12,15 +12,15 @@
 async def fetch_bundle(
     session: Session, number: int
 ) -> RolledBundle | RollError:
-    """Read the bundle of a roll, 0: the one in force; verify who rolled it.
+    """Read the bundle of a roll, 0 for the active one; verify its signatures.
 
-    It may have problems: this is how an operator gets to mend them.
+    The contents are not validated, so that operators can repair a bundle.
     """
-    reads = session.reads
-    stored = await (reads.head_at(number) if number else reads.head())
+    history = session.bundle_history
+    stored = await (history.head_at(number) if number else history.head())
     if isinstance(stored, RollError):
         return stored
-    document = await reads.signed_document(stored)
+    document = await history.signed_document(stored)
     if isinstance(document, RollError):
         return document
     rolled = assemble(document)
--- a/packages/ctl/src/lacewing_ctl/_fleet_file.py
+++ b/packages/ctl/src/lacewing_ctl/_fleet_file.py
@@ -1,4 +1,4 @@
-"""Find the operators' listeners that a call is about."""
+"""Read the addresses of the operators' listeners of a fleet."""
 
 import sys
 from collections.abc import Iterable
@@ -14,9 +14,10 @@
 class FleetFile(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """List the operators' ``ip:port`` of the processes; TLS if they use it.
+    """Hold the ``ip:port`` of each operators' listener.
 
-    ``tls`` holds the operator's own certificate, key and authority.
+    ``tls`` holds the operator's certificate, key and authority; it is None if
+    the listeners don't use TLS.
     """
 
     operators: tuple[str, ...]
@@ -24,9 +25,9 @@
 
 
 def find_fleet(fleet: str, address: object) -> FleetFile:
-    """Read the file, the addresses or both; end with usage if neither.
+    """Combine the fleet file and the addresses; exit if both are missing.
 
-    ``address`` is what fire made of the flag: a text or a list of texts.
+    ``address`` is the flag as parsed by fire: a string or a list of strings.
     """
     try:
         return _find(fleet, address)
@@ -36,19 +37,19 @@
 
 
 def _find(fleet: str, address: object) -> FleetFile:
-    given = _addresses(address)
-    if not fleet and not given:
+    extra = _addresses(address)
+    if not fleet and not extra:
         raise SettingsError('expected --fleet FILE or --address IP:PORT')
-    read = FleetFile(operators=())
+    base = FleetFile(operators=())
     if fleet:
-        read = read_fleet_file(Path(str(fleet)))
-    for text in (*read.operators, *given):
+        base = read_fleet_file(Path(str(fleet)))
+    for text in (*base.operators, *extra):
         parse_address(text)
-    return FleetFile(operators=(*read.operators, *given), tls=read.tls)
+    return FleetFile(operators=(*base.operators, *extra), tls=base.tls)
 
 
 def read_fleet_file(path: Path) -> FleetFile:
-    """Read the file; raise SettingsError naming the field."""
+    """Read a fleet file; raise SettingsError with the path of the field."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=FleetFile)
     except OSError as error:
--- a/packages/ctl/src/lacewing_ctl/_log_files.py
+++ b/packages/ctl/src/lacewing_ctl/_log_files.py
@@ -10,40 +10,40 @@
 
 @dataclass(frozen=True)
 class ParsedLogs:
-    """Hold the lines of all files by time; ``skipped_count`` are not ours."""
+    """Hold log lines by time; ``skipped_count`` lines were not parsed."""
 
     lines: tuple[LogLine, ...]
     skipped_count: int
 
 
 def read_logs(paths: Iterable[Path]) -> ParsedLogs:
-    """Read JSON lines; whatever stands before a line's object is passed over.
+    """Read JSON lines and ignore the text before the object of a line.
 
-    Supervisors put their own time and the process's name there. Raises
-    OSError when a file can't be read.
+    Supervisors prefix lines with a timestamp and the name of the process.
+    Raises OSError if a file can't be read.
     """
     lines = []
-    unread = 0
+    skipped_count = 0
     for path in paths:
         for text in path.read_bytes().splitlines():
-            line = _read(text)
+            line = _parse(text)
             if line is None:
-                unread += 1
+                skipped_count += 1
                 continue
             lines.append(line)
-    lines.sort(key=_time_of)
-    return ParsedLogs(tuple(lines), unread)
+    lines.sort(key=_timestamp_key)
+    return ParsedLogs(tuple(lines), skipped_count)
 
 
-def _read(text: bytes) -> LogLine | None:
-    begin = text.find(b'{')
-    if begin < 0:
+def _parse(text: bytes) -> LogLine | None:
+    start = text.find(b'{')
+    if start < 0:
         return None
     try:
-        return msgspec.json.decode(text[begin:], type=LogLine)
+        return msgspec.json.decode(text[start:], type=LogLine)
     except msgspec.DecodeError:
         return None
 
 
-def _time_of(line: LogLine) -> float:
+def _timestamp_key(line: LogLine) -> float:
     return line.timestamp.timestamp()
--- a/packages/ctl/src/lacewing_ctl/_operators_client.py
+++ b/packages/ctl/src/lacewing_ctl/_operators_client.py
@@ -1,4 +1,4 @@
-"""Ask the operators' listeners of many processes at once."""
+"""Query the operators' listeners of many processes concurrently."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,25 +11,25 @@
 from tornado.httpclient import HTTPRequest
 
 _TIMEOUT_S = 3.0
-_CALLS_AT_ONCE = 64
+_MAX_CONCURRENT_CALLS = 64
 _OK = 200
 
 
 @dataclass(frozen=True)
 class Unanswered:
-    """Report a process that gave no answer to a query."""
+    """Report a process that did not answer a query, and why."""
 
     address: str
     message: str
 
 
 class OperatorsClient:
-    """Read from operators' listeners; create it inside an event loop."""
+    """Call operators' listeners; create it inside an event loop."""
 
     def __init__(self, tls: TlsFiles | None) -> None:
         self._tls = tls
         self._client = CurlClient(
-            force_instance=True, max_clients=_CALLS_AT_ONCE
+            force_instance=True, max_clients=_MAX_CONCURRENT_CALLS
         )
 
     async def get(self, address: str, path: str) -> bytes | Unanswered:
@@ -59,7 +59,7 @@
     async def get_all(
         self, addresses: tuple[str, ...], path: str
     ) -> list[bytes | Unanswered]:
-        """Read one path of many processes, in their order."""
+        """Read one path of many processes; keep their order."""
         calls = [self.get(address, path) for address in addresses]
         return await asyncio.gather(*calls)
 
@@ -85,9 +85,9 @@
 
 
 def _prepare_tls(curl: pycurl.Curl) -> None:
-    """Know a process by its authority, not by its address.
+    """Verify the certificate's authority but not the host name.
 
-    VMs are replaced at any time and their addresses are used again.
+    VMs are replaced at any time and their addresses are reused.
     """
     connect_directly(curl)
     curl.setopt(pycurl.SSL_VERIFYHOST, 0)
--- a/packages/ctl/src/lacewing_ctl/_profile.py
+++ b/packages/ctl/src/lacewing_ctl/_profile.py
@@ -10,17 +10,17 @@
 
 from lacewing_ctl._exit import exit_with
 
-_VARIABLE = 'LACEWINGCTL_PROFILE'
+_PROFILE_VARIABLE = 'LACEWINGCTL_PROFILE'
 
 
 class Profile(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Hold what an operator's machine knows.
+    """Hold the settings of an operator's machine.
 
     ``platform`` is the base URL of the platform's API, ``authority`` a PEM
-    file that signs its certificate; ``key`` and ``fleet`` are paths of files,
-    used where no flag names another.
+    file with the authority of its certificate. ``key`` and ``fleet`` are the
+    paths of the default key and fleet files.
     """
 
     platform: str
@@ -31,10 +31,12 @@
 
 
 def find_profile(profile: str) -> Profile:
-    """Read the profile of the flag or the environment; end without one."""
-    path = str(profile or os.environ.get(_VARIABLE, ''))
+    """Read the profile named by the flag or the environment, or exit."""
+    path = str(profile or os.environ.get(_PROFILE_VARIABLE, ''))
     if not path:
-        exit_with(Exit.USAGE, f'expected --profile FILE or ${_VARIABLE}')
+        exit_with(
+            Exit.USAGE, f'expected --profile FILE or ${_PROFILE_VARIABLE}'
+        )
     try:
         return read_profile(Path(path))
     except SettingsError as error:
@@ -42,7 +44,7 @@
 
 
 def read_profile(path: Path) -> Profile:
-    """Read a profile; raise SettingsError naming the field."""
+    """Read a profile; raise SettingsError with the path of the field."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Profile)
     except (OSError, msgspec.DecodeError) as error:
--- a/packages/ctl/src/lacewing_ctl/_queries/__init__.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what only reads."""
+"""Implement the commands that only read."""
--- a/packages/ctl/src/lacewing_ctl/_queries/audit.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/audit.py
@@ -1,4 +1,4 @@
-"""Show the audit trail and verify that nobody changed it."""
+"""Show the audit trail and verify its integrity."""
 
 import sys
 
@@ -17,14 +17,14 @@
 from lacewing_ctl._session import in_session
 from lacewing_ctl._session import Session
 
-_PATIENCE_S = 10.0
-_ALL = 0
-_EVERY_ROLL = 1_000_000
+_RETRY_LIMIT_S = 10.0
+_NO_LIMIT = 0
+_MAX_ROLLS = 1_000_000
 _HEADERS = ('trail', 'entry', 'at', 'who', 'what', 'on', 'result')
 
 
 class AuditReport(msgspec.Struct, frozen=True):
-    """Hold trails and what is wrong with them for ``--json``."""
+    """Hold the trails and their faults for ``--json``."""
 
     trails: dict[str, tuple[AuditEntry, ...]]
     faults: tuple[str, ...]
@@ -46,7 +46,7 @@
     async def work(session: Session) -> AuditReport | RollError | StoreError:
         return await _read(session, str(trail), limit)
 
-    report = in_session(find_profile(profile), _PATIENCE_S, work)
+    report = in_session(find_profile(profile), _RETRY_LIMIT_S, work)
     if json:
         print(msgspec.json.encode(report).decode())
     else:
@@ -61,20 +61,20 @@
 ) -> AuditReport | RollError | StoreError:
     names: tuple[str, ...] | StoreError = (name,)
     if not name:
-        names = await session.trails.names()
+        names = await session.audit_reader.names()
     if isinstance(names, StoreError):
         return names
     trails: dict[str, tuple[AuditEntry, ...]] = {}
     faults: list[str] = []
     for each in names:
-        read = await session.trails.trail(each, limit)
+        read = await session.audit_reader.trail(each, limit)
         if isinstance(read, StoreError):
             return read
         trails[each] = read.entries
         if limit:
             trails[each] = read.entries[-limit:]
         faults.extend(f'trail {each!r}: {fault}' for fault in read.faults)
-        if limit == _ALL and each == BUNDLE_TRAIL:
+        if limit == _NO_LIMIT and each == BUNDLE_TRAIL:
             compared = await _compare(session, read)
             if isinstance(compared, RollError):
                 return compared
@@ -85,7 +85,7 @@
 async def _compare(
     session: Session, trail: AuditTrail
 ) -> tuple[str, ...] | RollError:
-    history = await session.reads.history(_EVERY_ROLL)
+    history = await session.bundle_history.history(_MAX_ROLLS)
     if isinstance(history, RollError):
         return history
     return compare_rolls(history, trail.entries)
--- a/packages/ctl/src/lacewing_ctl/_queries/bundle.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/bundle.py
@@ -1,4 +1,4 @@
-"""Check, compare and show bundles and their history."""
+"""Validate, compare and show bundles and their history."""
 
 import sys
 
@@ -19,14 +19,14 @@
 from lacewing_ctl._session import in_session
 from lacewing_ctl._session import Session
 
-_PATIENCE_S = 10.0
-_HIDDEN = '(hidden)'
-_SHOWN = 12
+_RETRY_LIMIT_S = 10.0
+_HIDDEN_SECRET = '(hidden)'
+_DIGEST_LENGTH = 12
 _HEADERS = ('roll', 'bundle', 'by', 'at', 'signed by', 'again')
 
 
 class Validation(msgspec.Struct, frozen=True):
-    """Hold the outcome of a check for ``--json``."""
+    """Hold the result of a validation for ``--json``."""
 
     digest: str
     problems: tuple[dict[str, str], ...]
@@ -86,7 +86,9 @@
     """
     rolled = _fetch(number, profile)
     if not secret:
-        hidden = msgspec.structs.replace(rolled.bundle, prefix_secret=_HIDDEN)
+        hidden = msgspec.structs.replace(
+            rolled.bundle, prefix_secret=_HIDDEN_SECRET
+        )
         rolled = msgspec.structs.replace(rolled, bundle=hidden)
     print(msgspec.json.format(msgspec.json.encode(rolled)).decode())
 
@@ -101,9 +103,9 @@
     """
 
     async def work(session: Session) -> tuple[HistoryEntry, ...] | RollError:
-        return await session.reads.history(limit)
+        return await session.bundle_history.history(limit)
 
-    entries = in_session(find_profile(profile), _PATIENCE_S, work)
+    entries = in_session(find_profile(profile), _RETRY_LIMIT_S, work)
     if json:
         print(msgspec.json.encode(entries).decode())
         return
@@ -114,7 +116,7 @@
 def _fetch(number: int, profile: str) -> RolledBundle:
     return in_session(
         find_profile(profile),
-        _PATIENCE_S,
+        _RETRY_LIMIT_S,
         lambda session: fetch_bundle(session, number),
     )
 
@@ -122,7 +124,7 @@
 def _row(entry: HistoryEntry) -> list[object]:
     return [
         entry.number,
-        entry.digest[:_SHOWN],
+        entry.digest[:_DIGEST_LENGTH],
         entry.operator,
         entry.at,
         ', '.join(entry.signed_by),
--- a/packages/ctl/src/lacewing_ctl/_queries/explain.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/explain.py
@@ -1,4 +1,4 @@
-"""Show from log files how a request ended and why."""
+"""Explain the outcome of a request from log files."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -16,7 +16,7 @@
 from lacewing_ctl._timeline import find_unclean_exits
 from lacewing_ctl._timeline import RequestTimeline
 
-_TRIES = (
+_HEADERS = (
     'upstream',
     'verdict',
     'reason',
@@ -27,8 +27,8 @@
     'others',
     'weights',
 )
-# Failures at the same upstreams beyond these are only counted.
-_MOST_BESIDE = 5
+# Further failures at the same upstreams are only counted.
+_MAX_RELATED_LINES = 5
 
 
 def explain(request: str, logs: str) -> None:
@@ -39,17 +39,17 @@
         logs: paths of the processes' logs, separated by commas.
     """
     paths = []
-    for name in _names(logs):
+    for name in _split_paths(logs):
         paths.append(Path(name))
     try:
-        read = read_logs(paths)
+        parsed = read_logs(paths)
     except OSError as error:
         exit_with(Exit.FAILED, f'a log could not be read: {error}')
-    if read.skipped_count:
-        print_status(f'{read.skipped_count} lines are not of this system')
-    stories = find_timelines(read.lines, str(request))
-    if not stories:
-        for line in find_unclean_exits(read.lines):
+    if parsed.skipped_count:
+        print_status(f'{parsed.skipped_count} lines are not of this system')
+    timelines = find_timelines(parsed.lines, str(request))
+    if not timelines:
+        for line in find_unclean_exits(parsed.lines):
             at = line.timestamp.isoformat()
             print_status(
                 f'the log of {line.process} ends at {at} without a stop'
@@ -59,18 +59,18 @@
             f'no line of request {request}; it may be among those left out:'
             ' look for "Left out lines of requests."',
         )
-    for story in stories:
-        print(_page(story))
+    for timeline in timelines:
+        print(_format_timeline(timeline))
 
 
-def _names(logs: str | Iterable[str]) -> tuple[str, ...]:
-    """Return the paths; the command line splits at commas by itself."""
+def _split_paths(logs: str | Iterable[str]) -> tuple[str, ...]:
+    """Return the paths; fire already splits values that contain commas."""
     if isinstance(logs, str):
         return tuple(logs.split(','))
     return tuple(logs)
 
 
-def _page(story: RequestTimeline) -> str:
+def _format_timeline(story: RequestTimeline) -> str:
     line = story.line
     parts = [
         f'{line.request} at {line.process}, {line.timestamp.isoformat()}',
@@ -81,18 +81,18 @@
         rows = []
         for one in line.tries:
             rows.append(_row(one))
-        parts.append(tabulate(rows, _TRIES))
-    around = [
+        parts.append(tabulate(rows, _HEADERS))
+    shown_lines = [
         *story.process,
         *story.orders,
         *story.crashes,
-        *story.related_lines[:_MOST_BESIDE],
+        *story.related_lines[:_MAX_RELATED_LINES],
     ]
-    for other in around:
-        parts.append(f'  {_short(other)}')
-    more = len(story.related_lines) - _MOST_BESIDE
-    if more > 0:
-        parts.append(f'  and {more} more that failed at these upstreams')
+    for shown in shown_lines:
+        parts.append(f'  {_format_line(shown)}')
+    omitted = len(story.related_lines) - _MAX_RELATED_LINES
+    if omitted > 0:
+        parts.append(f'  and {omitted} more that failed at these upstreams')
     parts.append(f'cause: {describe_cause(story)}')
     return '\n'.join(parts)
 
@@ -112,8 +112,8 @@
     )
 
 
-def _short(line: LogLine) -> str:
-    told = (
+def _format_line(line: LogLine) -> str:
+    fields = (
         line.request,
         line.reason,
         line.upstream,
@@ -121,6 +121,6 @@
         line.fault,
         str(line.version) if line.version else '',
     )
-    details = ' '.join(text for text in told if text)
+    details = ' '.join(text for text in fields if text)
     at = line.timestamp.strftime('%H:%M:%S.%f')
     return f'{at} {line.process} {line.event} {details}'.rstrip()
--- a/packages/ctl/src/lacewing_ctl/_queries/placement.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/placement.py
@@ -1,4 +1,4 @@
-"""Show the plans in force: copies, use, pins and who plans."""
+"""Show the active placement plans."""
 
 import msgspec
 from lacewing_common.bundle import Pin
@@ -19,13 +19,13 @@
 from lacewing_ctl._session import in_session
 from lacewing_ctl._session import Session
 
-_PATIENCE_S = 10.0
-_COPIES = ('model', 'copies', 'needed', 'busy', 'utilisation')
-_WORKERS = ('worker', 'zone', 'holds')
+_RETRY_LIMIT_S = 10.0
+_MODEL_HEADERS = ('model', 'copies', 'needed', 'busy', 'utilisation')
+_WORKER_HEADERS = ('worker', 'zone', 'holds')
 
 
 class PlacedService(msgspec.Struct, frozen=True):
-    """Hold a service's plan, None while there is none, and its pins."""
+    """Hold a service's plan, None before the first, and its pins."""
 
     service: str
     plan: Plan | None
@@ -48,7 +48,7 @@
     ) -> tuple[PlacedService, ...] | RollError | StoreError:
         return await _read_all(session, service)
 
-    found = in_session(find_profile(profile), _PATIENCE_S, work)
+    found = in_session(find_profile(profile), _RETRY_LIMIT_S, work)
     if json:
         print(msgspec.json.encode(found).decode())
         return
@@ -111,17 +111,17 @@
                 f'{note.utilisation:.0%}',
             ]
         )
-    print(tabulate(rows, headers=_COPIES))
+    print(tabulate(rows, headers=_MODEL_HEADERS))
     print()
     workers: list[list[object]] = []
     for worker in plan.workers:
-        models = ', '.join(_text(model) for model in worker.models)
+        models = ', '.join(_format_model(model) for model in worker.models)
         workers.append([worker.worker, worker.availability_zone, models])
-    print(tabulate(workers, headers=_WORKERS))
+    print(tabulate(workers, headers=_WORKER_HEADERS))
     for pin in placed.pins:
         print(f'pin: {pin.model} at {pin.worker or pin.zone}')
 
 
-def _text(model: HeldModel) -> str:
+def _format_model(model: HeldModel) -> str:
     adapters = [f'{each.name}@{each.version}' for each in model.adapters]
     return ' + '.join([f'{model.model}:{model.weights}', *adapters])
--- a/packages/ctl/src/lacewing_ctl/_queries/status.py
+++ b/packages/ctl/src/lacewing_ctl/_queries/status.py
@@ -1,4 +1,4 @@
-"""Show every process, its zone, epoch and bundle number."""
+"""Show the status of each process of a fleet."""
 
 import asyncio
 import sys
@@ -27,7 +27,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Hold the answers; ``unanswered`` maps addresses to the cause."""
+    """Hold the reports; ``unanswered`` maps addresses to error messages."""
 
     processes: tuple[ProcessStatus, ...]
     unanswered: dict[str, str]
@@ -41,7 +41,7 @@
         address: one or more operators' addresses, separated by commas.
         json: print JSON in place of a table.
     """
-    report = asyncio.run(_ask(find_fleet(fleet, address)))
+    report = asyncio.run(_query(find_fleet(fleet, address)))
     if json:
         print(msgspec.json.encode(report).decode())
     else:
@@ -49,7 +49,7 @@
     sys.exit(Exit.FAILED if report.unanswered else Exit.OK)
 
 
-async def _ask(fleet: FleetFile) -> Report:
+async def _query(fleet: FleetFile) -> Report:
     client = OperatorsClient(fleet.tls)
     try:
         answers = await client.get_all(fleet.operators, '/status')
@@ -58,16 +58,16 @@
     processes: list[ProcessStatus] = []
     unanswered: dict[str, str] = {}
     for address, answer in zip(fleet.operators, answers, strict=True):
-        read = _read(address, answer)
-        if isinstance(read, Unanswered):
-            unanswered[address] = read.message
+        parsed = _parse(address, answer)
+        if isinstance(parsed, Unanswered):
+            unanswered[address] = parsed.message
             continue
-        processes.append(read)
+        processes.append(parsed)
     processes.sort(key=lambda process: process.process_id)
     return Report(tuple(processes), unanswered)
 
 
-def _read(
+def _parse(
     address: str, answer: bytes | Unanswered
 ) -> ProcessStatus | Unanswered:
     if isinstance(answer, Unanswered):
--- a/packages/ctl/src/lacewing_ctl/_session.py
+++ b/packages/ctl/src/lacewing_ctl/_session.py
@@ -1,4 +1,4 @@
-"""Open the platform for one command."""
+"""Connect a command to the platform."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -27,18 +27,18 @@
 
 
 class Session:
-    """Hold what a command needs of the platform."""
+    """Provide access to the platform for one command."""
 
     def __init__(
-        self, client: PlatformClient, profile: Profile, patience_s: float
+        self, client: PlatformClient, profile: Profile, retry_limit_s: float
     ) -> None:
         self.store = client
-        patience = RetryPolicy(give_up_after_s=patience_s)
-        guard = BundleValidator(profile.root_operators)
-        self.reads = BundleHistory(client, guard, patience)
-        self.writes = BundleRoller(client, guard, patience)
-        self.trails = AuditReader(client, patience)
-        self.trail = AuditLog(client, BUNDLE_TRAIL, patience)
+        retry_policy = RetryPolicy(give_up_after_s=retry_limit_s)
+        validator = BundleValidator(profile.root_operators)
+        self.bundle_history = BundleHistory(client, validator, retry_policy)
+        self.bundle_roller = BundleRoller(client, validator, retry_policy)
+        self.audit_reader = AuditReader(client, retry_policy)
+        self.bundle_trail = AuditLog(client, BUNDLE_TRAIL, retry_policy)
 
 
 def in_session(
@@ -46,7 +46,7 @@
     retry_limit_s: float,
     work: Callable[[Session], Awaitable[T | RollError | StoreError]],
 ) -> T:
-    """Run work on the platform; end with the code of its error."""
+    """Run work in a session; exit with the code of its error."""
     result = asyncio.run(_run(profile, retry_limit_s, work))
     if isinstance(result, RollError):
         exit_with_error(result)
@@ -57,7 +57,7 @@
 
 async def _run(
     profile: Profile,
-    patience_s: float,
+    retry_limit_s: float,
     work: Callable[[Session], Awaitable[T | RollError | StoreError]],
 ) -> T | RollError | StoreError:
     if not profile.platform:
@@ -67,6 +67,6 @@
     options = ClientOptions(ca_file=profile.authority or None)
     client = PlatformClient(profile.platform, options)
     try:
-        return await work(Session(client, profile, patience_s))
+        return await work(Session(client, profile, retry_limit_s))
     finally:
         client.close()
--- a/packages/ctl/src/lacewing_ctl/_timeline.py
+++ b/packages/ctl/src/lacewing_ctl/_timeline.py
@@ -1,4 +1,4 @@
-"""Find what the logs tell of one request, and what stands beside it."""
+"""Find the log lines of a request and the lines that may explain it."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,30 +6,30 @@
 
 from lacewing_common.log_lines import LogLine
 
-FAILED = 'callers: Request failed.'
-ORDERED = 'placement: Ordered weights.'
-CRASHED = 'link: An upstream crashed.'
-LOST = 'platform: Lost a collection.'
+REQUEST_FAILED = 'callers: Request failed.'
+WEIGHTS_ORDERED = 'placement: Ordered weights.'
+UPSTREAM_CRASHED = 'link: An upstream crashed.'
+COLLECTION_LOST = 'platform: Lost a collection.'
 STARTED = 'main: Started.'
 DRAINING = 'main: Draining.'
 STOPPED = 'main: Stopped.'
-# A router in use writes lines all the time.
-SILENT = timedelta(seconds=5)
-# Lines of the process itself are shown from this long before the request.
-BEFORE = timedelta(seconds=8)
-# Orders and failures at the same upstream belong together within this time;
-# a load takes 0.4 s, a silent upstream is left after 1.4 s.
-AROUND = timedelta(seconds=2)
+# A router in use logs all the time; a longer silence means that it ended.
+MAX_LOG_GAP = timedelta(seconds=5)
+# Events of the process are included from this long before the request.
+PROCESS_WINDOW = timedelta(seconds=8)
+# Orders and failures at the same upstream count as related within this time:
+# a load takes 0.4 s, and a silent upstream is abandoned after 1.4 s.
+RELATED_WINDOW = timedelta(seconds=2)
 
 
 @dataclass(frozen=True)
 class RequestTimeline:
-    """Hold a request's own line and the lines that may explain it.
+    """Hold the line of a request and the lines that may explain it.
 
     ``orders``: orders of weights to the upstreams that were tried.
     ``related_lines``: other requests that failed at one of these upstreams.
-    ``process``: what the process lost, or that it started or drains.
-    ``crashes``: crashes of upstreams that broke off what asks the same.
+    ``process``: lost collections, starts and drains of the same process.
+    ``crashes``: crashes of upstreams that interrupted the same request.
     """
 
     line: LogLine
@@ -42,64 +42,86 @@
 def find_timelines(
     lines: Sequence[LogLine], request_id: str
 ) -> tuple[RequestTimeline, ...]:
-    """Return a story for each line of the request; none if it has no line."""
-    stories = []
+    """Return one timeline for each line of the request."""
+    timelines = []
     for line in lines:
         if line.request == request_id:
-            stories.append(_story(lines, line))
-    return tuple(stories)
+            timelines.append(_build_timeline(lines, line))
+    return tuple(timelines)
 
 
 def find_unclean_exits(lines: Sequence[LogLine]) -> tuple[LogLine, ...]:
-    """Return the last lines of processes that fell silent without a stop.
+    """Return the last line of each process whose log ends without a stop.
 
-    A VM that lost its power writes no line of what it had open.
+    A VM that loses power logs nothing about its open requests.
     """
-    last: dict[str, LogLine] = {}
+    last_lines: dict[str, LogLine] = {}
     for line in lines:
-        last[line.process] = line
-    if not last:
+        last_lines[line.process] = line
+    if not last_lines:
         return ()
-    newest = max(line.timestamp for line in last.values())
-    found = []
-    for line in last.values():
-        if line.event != STOPPED and newest - line.timestamp > SILENT:
-            found.append(line)
-    return tuple(found)
-
-
-def _story(lines: Sequence[LogLine], own: LogLine) -> RequestTimeline:
-    began = own.timestamp - timedelta(milliseconds=own.ms)
-    tried = frozenset(one.upstream for one in own.tries)
+    newest = max(line.timestamp for line in last_lines.values())
+    unclean = []
+    for line in last_lines.values():
+        if line.event != STOPPED and newest - line.timestamp > MAX_LOG_GAP:
+            unclean.append(line)
+    return tuple(unclean)
+
+
+def _build_timeline(
+    lines: Sequence[LogLine], request_line: LogLine
+) -> RequestTimeline:
+    started_at = request_line.timestamp - timedelta(
+        milliseconds=request_line.ms
+    )
+    tried = frozenset(each.upstream for each in request_line.tries)
     orders = []
-    beside = []
+    related_lines = []
     process = []
     crashes = []
     for line in lines:
-        if line is own:
+        if line is request_line:
             continue
-        if line.event == CRASHED and line.timestamp <= own.timestamp + AROUND:
-            if any(run.same == own.same for run in line.runs):
+        if (
+            line.event == UPSTREAM_CRASHED
+            and line.timestamp <= request_line.timestamp + RELATED_WINDOW
+        ):
+            if any(run.same == request_line.same for run in line.runs):
                 crashes.append(line)
-        if line.process == own.process and line.event in _OF_PROCESS:
-            if began - BEFORE <= line.timestamp <= own.timestamp:
+        if (
+            line.process == request_line.process
+            and line.event in _PROCESS_EVENTS
+        ):
+            if (
+                started_at - PROCESS_WINDOW
+                <= line.timestamp
+                <= request_line.timestamp
+            ):
                 process.append(line)
-        if not began - AROUND <= line.timestamp <= own.timestamp + AROUND:
+        if (
+            not started_at - RELATED_WINDOW
+            <= line.timestamp
+            <= request_line.timestamp + RELATED_WINDOW
+        ):
             continue
-        if line.event == ORDERED and line.upstream in tried:
+        if line.event == WEIGHTS_ORDERED and line.upstream in tried:
             orders.append(line)
-        if line.event == FAILED and _failed_at(line, tried):
-            beside.append(line)
+        if line.event == REQUEST_FAILED and _failed_at(line, tried):
+            related_lines.append(line)
     return RequestTimeline(
-        own, tuple(orders), tuple(beside), tuple(process), tuple(crashes)
+        request_line,
+        tuple(orders),
+        tuple(related_lines),
+        tuple(process),
+        tuple(crashes),
     )
 
 
 def _failed_at(line: LogLine, upstreams: frozenset[str]) -> bool:
-    for one in line.tries:
-        if one.upstream in upstreams and one.reason:
+    for each in line.tries:
+        if each.upstream in upstreams and each.reason:
             return True
     return False
 
 
-_OF_PROCESS = frozenset((LOST, STARTED, DRAINING))
+_PROCESS_EVENTS = frozenset((COLLECTION_LOST, STARTED, DRAINING))
--- a/packages/ctl/src/lacewing_ctl/main.py
+++ b/packages/ctl/src/lacewing_ctl/main.py
@@ -1,4 +1,4 @@
-"""Read the command line of operators and run one query or command."""
+"""Run the command line interface of operators."""
 
 import fire
 
@@ -11,7 +11,7 @@
 from lacewing_ctl._queries.placement import placement
 from lacewing_ctl._queries.status import status
 
-_BUNDLE = {
+_BUNDLE_COMMANDS = {
     'new': draft.new,
     'edit': draft.edit,
     'validate': bundle.validate,
@@ -25,7 +25,7 @@
 }
 _COMMANDS = {
     'status': status,
-    'bundle': _BUNDLE,
+    'bundle': _BUNDLE_COMMANDS,
     'keys': {'new': keys.new},
     'audit': audit,
     'placement': placement,
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Run the command line interface."""
     fire.Fire(_COMMANDS, name='lacewingctl')
 
 
--- a/packages/daemon/src/lacewing_daemon/__init__.py
+++ b/packages/daemon/src/lacewing_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""lacewing_daemon."""
+"""Run the routers and agents of lacewingstack."""
--- a/packages/daemon/src/lacewing_daemon/_audit.py
+++ b/packages/daemon/src/lacewing_daemon/_audit.py
@@ -1,4 +1,4 @@
-"""Enter what this process does in the audit trail."""
+"""Write the actions of this process to the audit trail."""
 
 import asyncio
 from datetime import datetime
@@ -16,34 +16,34 @@
 from lacewing_common.store import ObjectStore
 
 TRAILS_PER_ZONE = 16
-_LAST_FLUSH_S = 2.0
-_PATIENCE = RetryPolicy(give_up_after_s=1.0)
+_FINAL_FLUSH_TIMEOUT_S = 2.0
+_RETRY_POLICY = RetryPolicy(give_up_after_s=1.0)
 
 
 def audit_trail_name(process_id: str, availability_zone: str) -> str:
     """Return the name of the trail that a process writes to.
 
-    All processes of a zone may drain at once, and writers of one trail put
-    each other off: hundreds on one would use up the platform's writes. One
-    trail for each process would leave thousands of objects behind.
+    All processes of a zone may drain at once, and writers of the same trail
+    conflict: the retries of hundreds of writers would use up the platform's
+    write limit. One trail per process would leave thousands of objects.
     """
     digest = xxhash.xxh3_64_intdigest(process_id.encode())
     return f'{availability_zone}-{digest % TRAILS_PER_ZONE}'
 
 
 class ProcessAudit:
-    """Take reports at once; write them in batches while there is a store."""
+    """Buffer reports and write them in batches once a store is open."""
 
     def __init__(self, name: ProcessName, availability_zone: str) -> None:
         self._who = str(name)
         self._trail = audit_trail_name(name.process_id, availability_zone)
         self._buffer: AuditBuffer | None = None
-        self._reports = 0
+        self._report_count = 0
         self._log = get_log(Part.AUDIT)
 
     def open(self, store: ObjectStore) -> None:
-        """Write to a platform from now on."""
-        log = AuditLog(store, self._trail, _PATIENCE)
+        """Start writing to a store."""
+        log = AuditLog(store, self._trail, _RETRY_POLICY)
         self._buffer = AuditBuffer(log, self._who)
 
     def report(
@@ -54,15 +54,15 @@
         after: str = '',
         result: str = 'done',
     ) -> None:
-        """Enter that this process did something; without a store only log."""
+        """Log an action; record it for the audit trail if a store is open."""
         self._log.info(
             'Changed.', action=action.value, subject=subject, result=result
         )
         if self._buffer is None:
             return
-        self._reports += 1
+        self._report_count += 1
         record = AuditRecord(
-            record_id=f'{self._who}-{self._reports}',
+            record_id=f'{self._who}-{self._report_count}',
             who=self._who,
             action=action,
             subject=subject,
@@ -74,22 +74,22 @@
         self._buffer.add(record)
 
     async def run(self) -> None:
-        """Write at intervals, for ever."""
+        """Write at intervals until cancelled."""
         if self._buffer is not None:
             await self._buffer.run()
 
     async def close(self) -> None:
-        """Write what waits, for a bounded time.
+        """Write the pending records, for a bounded time.
 
-        The drain is over by then. An outage of the platform must not keep
-        the process from ending: its VM may be taken away at any moment.
+        It is called after the drain. A platform outage must not keep the
+        process from ending, since its VM may be removed at any moment.
         """
         if self._buffer is None:
             return
         try:
-            async with asyncio.timeout(_LAST_FLUSH_S):
+            async with asyncio.timeout(_FINAL_FLUSH_TIMEOUT_S):
                 await self._buffer.flush()
         except TimeoutError:
             self._log.warning(
-                'Entries lost.', count=self._buffer.pending_count
+                'Audit entries lost.', count=self._buffer.pending_count
             )
--- a/packages/daemon/src/lacewing_daemon/_check.py
+++ b/packages/daemon/src/lacewing_daemon/_check.py
@@ -1,4 +1,4 @@
-"""Check the files that the settings name."""
+"""Check the files that the settings refer to."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 
 
 def check_files(settings: Settings) -> None:
-    """Read each named file; raise SettingsError naming the field."""
+    """Read each file; raise SettingsError with the path of the field."""
     if settings.tls is not None:
         check_tls_files(settings.tls)
     if not settings.bundle_file:
--- a/packages/daemon/src/lacewing_daemon/_operators.py
+++ b/packages/daemon/src/lacewing_daemon/_operators.py
@@ -27,28 +27,28 @@
 
 
 class StatusSource(Protocol):
-    """Give the status of this process."""
+    """Provide the status of this process."""
 
     def __call__(self) -> ProcessStatus:
-        """Return the status as of now."""
+        """Return the current status."""
 
 
 class ExplanationSource(Protocol):
-    """Give the decisions on a request."""
+    """Provide the decisions on a request."""
 
     def __call__(self, request_id: str) -> object | None:
-        """Return what msgspec can encode, or None when nothing is kept."""
+        """Return an encodable object, or None if nothing is stored."""
 
 
 class DocumentReceiver(Protocol):
-    """Take a document that an operator hands over."""
+    """Accept a document that an operator distributes."""
 
     def __call__(self, document: Document) -> Refusal | None:
         """Return why the document is refused, or None."""
 
 
 class Missing(msgspec.Struct, frozen=True):
-    """Say what was not found or not expected."""
+    """Hold the message of an error response."""
 
     message: str
 
@@ -60,15 +60,15 @@
         self.finish('ok\n')
 
 
-class _Query(RequestHandler):
+class _StatusHandler(RequestHandler):
     def initialize(self, source: StatusSource) -> None:
-        """Take the source of the status."""
+        """Set the source of the status."""
         self._source = source
 
 
-class _Readiness(_Query):
+class _Readiness(_StatusHandler):
     def get(self) -> None:
-        """Answer 200 while requests are taken, else 503."""
+        """Answer 200 while requests are accepted, else 503."""
         ready = self._source().ready
         self.set_status(_OK if ready else _UNAVAILABLE)
         self.set_header('Content-Type', 'text/plain')
@@ -77,21 +77,21 @@
 
 class _Metrics(RequestHandler):
     def get(self) -> None:
-        """Answer in Prometheus' text format."""
+        """Answer with all metrics in the Prometheus text format."""
         self.set_header('Content-Type', CONTENT_TYPE_LATEST)
         self.finish(generate_latest())
 
 
-class _Status(_Query):
+class _Status(_StatusHandler):
     def get(self) -> None:
-        """Answer with the process' status as JSON."""
+        """Answer with the status of the process as JSON."""
         self.set_header('Content-Type', 'application/json')
         self.finish(msgspec.json.encode(self._source()))
 
 
 class _Explanation(RequestHandler):
     def initialize(self, explain: ExplanationSource) -> None:
-        """Take the source of the explanations."""
+        """Set the source of the explanations."""
         self._explain = explain
 
     def get(self, request_id: str) -> None:
@@ -108,16 +108,16 @@
 
 class _Documents(RequestHandler):
     def initialize(
-        self, take: DocumentReceiver, needs_certificate: bool
+        self, accept: DocumentReceiver, needs_certificate: bool
     ) -> None:
-        """Take what accepts documents."""
-        self._take = take
+        """Set the receiver of documents."""
+        self._accept = accept
         self._needs_certificate = needs_certificate
 
     def post(self) -> None:
-        """Take a document; 200 also when a newer one is held."""
+        """Accept a document; answer 200 also if a newer version is stored."""
         self.set_header('Content-Type', 'application/json')
-        if self._needs_certificate and not self._certificate():
+        if self._needs_certificate and not self._has_certificate():
             self._refuse(_FORBIDDEN, 'expected a certificate of an operator')
             return
         try:
@@ -125,13 +125,13 @@
         except msgspec.DecodeError as error:
             self._refuse(_BAD_REQUEST, f'expected a document: {error}')
             return
-        refusal = self._take(document)
+        refusal = self._accept(document)
         if refusal is not None:
             self._refuse(_UNPROCESSABLE, refusal.message)
             return
         self.finish(b'{}')
 
-    def _certificate(self) -> bool:
+    def _has_certificate(self) -> bool:
         return bool(self.request.get_ssl_certificate(binary_form=True))
 
     def _refuse(self, status: int, message: str) -> None:
@@ -140,18 +140,18 @@
 
 
 class OperatorsServer:
-    """Listen for operators."""
+    """Serve the HTTP interface for operators."""
 
     def __init__(
         self,
         settings: Settings,
         source: StatusSource,
         explain: ExplanationSource,
-        take: DocumentReceiver,
+        accept: DocumentReceiver,
     ) -> None:
         self._settings = settings
         documents = {
-            'take': take,
+            'accept': accept,
             'needs_certificate': settings.tls is not None,
         }
         self._server = HTTPServer(
@@ -164,15 +164,15 @@
                     ('/explain/([^/]+)', _Explanation, {'explain': explain}),
                     ('/documents', _Documents, documents),
                 ],
-                log_function=_log_nothing,
+                log_function=_skip_access_log,
             ),
             ssl_options=server_context(settings, ClientCertificate.OPERATORS),
         )
 
     def listen(self) -> Address:
-        """Bind the address of the settings; return the one in use."""
-        wanted = parse_address(self._settings.listen.operators)
-        sockets = bind_sockets(wanted.port, wanted.host)
+        """Bind the configured address; return the address in use."""
+        configured = parse_address(self._settings.listen.operators)
+        sockets = bind_sockets(configured.port, configured.host)
         self._server.add_sockets(sockets)
         host, port = sockets[0].getsockname()[:2]
         return Address(host, port)
@@ -183,5 +183,5 @@
         await self._server.close_all_connections()
 
 
-def _log_nothing(_handler: RequestHandler) -> None:
-    """Keep scrapes and probes out of the logs."""
+def _skip_access_log(_handler: RequestHandler) -> None:
+    """Keep metric scrapes and health probes out of the logs."""
--- a/packages/daemon/src/lacewing_daemon/_peers_server.py
+++ b/packages/daemon/src/lacewing_daemon/_peers_server.py
@@ -1,4 +1,4 @@
-"""Listen for the system's own processes."""
+"""Serve gRPC to the other processes of the fleet."""
 
 import asyncio
 import contextlib
@@ -17,24 +17,25 @@
 from lacewing_common.tls import ClientCertificate
 from lacewing_common.tls import server_context
 
-_CLOSE_S = 2.0
-# A router's VM that vanishes sends no end of its connection; pings find out
-# so that its attempts count as orphaned. Nothing waits for that but memory and
-# slots of streams nobody reads; at 890 links a ping every 10 s took a router
-# all the CPU that control may use.
+_CLOSE_TIMEOUT_S = 2.0
+# A router whose VM vanishes does not close its connections. Pings detect
+# this, so that its attempts count as orphaned. Until then they only hold
+# memory and the slots of streams that nobody reads, so detection may be slow:
+# at 890 links, a ping every 10 s used all the CPU that a router has for
+# control.
 PING_EVERY_S = 60.0
 _PING_TIMEOUT_S = 10.0
 
 
 class GrpcService(Protocol):
-    """Serve some gRPC methods."""
+    """Implement gRPC methods that a listener can serve."""
 
     def __mapping__(self) -> Mapping[str, Handler]:
-        """Map paths of methods to their handlers."""
+        """Map method paths to their handlers."""
 
 
 class PeersServer:
-    """Serve several parts of a process on its one listener for peers."""
+    """Serve several gRPC services on the single listener for peers."""
 
     def __init__(
         self, settings: Settings, services: Sequence[GrpcService]
@@ -47,13 +48,13 @@
 
     @property
     def address(self) -> str:
-        """Return the ``ip:port`` it listens on, '' before the start."""
+        """Return the ``ip:port`` of the listener, '' before the start."""
         return self._address
 
     async def start(self) -> None:
-        """Bind the address of the settings and listen."""
-        wanted = parse_address(self._settings.listen.peers)
-        sock = _listening_socket(wanted)
+        """Bind the configured address and listen."""
+        configured = parse_address(self._settings.listen.peers)
+        sock = _listening_socket(configured)
         await self._server.start(
             sock=sock,
             ssl=server_context(self._settings, ClientCertificate.PEERS),
@@ -62,13 +63,15 @@
         self._address = str(Address(host, port))
 
     def stop(self) -> None:
-        """Take no more connections and end the calls."""
+        """Accept no more connections and end all calls."""
         self._server.close()
 
     async def wait_closed(self) -> None:
-        """Wait a little for the calls to end."""
+        """Wait for the calls to end, for a bounded time."""
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._server.wait_closed(), _CLOSE_S)
+            await asyncio.wait_for(
+                self._server.wait_closed(), _CLOSE_TIMEOUT_S
+            )
 
 
 def _configuration() -> Configuration:
@@ -82,9 +85,9 @@
 
 def _listening_socket(address: Address) -> socket.socket:
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
-    # asyncio switches Nagle's algorithm off only where the protocol number
-    # is given. Left on, a small frame waits 40 ms for the peer's delayed
-    # acknowledgement, which shows as a first token that much later.
+    # asyncio disables Nagle's algorithm only if the socket was created with
+    # the protocol number. With Nagle's algorithm, a small frame waits 40 ms
+    # for the peer's delayed acknowledgement, which delays the first token.
     sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((address.host, address.port))
--- a/packages/daemon/src/lacewing_daemon/_roles.py
+++ b/packages/daemon/src/lacewing_daemon/_roles.py
@@ -12,7 +12,8 @@
 async def start_role(runtime: Runtime) -> RunningRole:
     """Start the router or the agent.
 
-    The other role's modules stay unloaded: memory is scarce on a small VM.
+    Only the modules of this role are imported, because memory is scarce on
+    small VMs.
     """
     role = runtime.settings.role
     module: Any = import_module(f'lacewing_daemon.{role.value}')
--- a/packages/daemon/src/lacewing_daemon/_serve.py
+++ b/packages/daemon/src/lacewing_daemon/_serve.py
@@ -1,4 +1,4 @@
-"""Run one daemon from its start to the end of its drain."""
+"""Run a daemon from its start to the end of its drain."""
 
 import asyncio
 import errno
@@ -48,32 +48,32 @@
 
 
 class _Daemon:
-    """Hold the parts of a running daemon and report on them."""
+    """Connect the parts of a daemon, run them and report their status."""
 
     def __init__(self, settings: Settings) -> None:
         self._log = get_log(Part.MAIN)
         self._settings = settings
         self._signals = StopSignals()
-        self._contacts = KnownMembers(settings.seeds)
+        self._known_members = KnownMembers(settings.seeds)
         self._name = ProcessName(settings.process_id, new_incarnation())
-        self._guard = BundleValidator(settings.root_operators)
+        self._bundle_validator = BundleValidator(settings.root_operators)
         self._node = PeerNode(
             self._name,
             settings,
             {
-                DocumentKind.BUNDLE: self._guard,
+                DocumentKind.BUNDLE: self._bundle_validator,
                 DocumentKind.PLAN: validate_plan,
             },
-            self._contacts.addresses,
+            self._known_members.addresses,
             Random(),
         )
         self._node.documents.on_change(
-            DocumentKind.BUNDLE, self._guard.record_trust
+            DocumentKind.BUNDLE, self._bundle_validator.record_trust
         )
         self._audit = ProcessAudit(
             self._name, settings.place.availability_zone
         )
-        self._file = FileBundles(_bundle_path(settings))
+        self._file_bundles = FileBundles(_bundle_path(settings))
         self._runtime = Runtime(
             name=self._name,
             settings=settings,
@@ -84,8 +84,8 @@
             audit=self._audit,
             node=self._node,
         )
-        self._operators = OperatorsServer(
-            settings, self._status, self._explain, self._take_document
+        self._operators_server = OperatorsServer(
+            settings, self._status, self._explain, self._accept_document
         )
         self._operators_address = ''
         self._platform: PlatformClient | None = None
@@ -97,17 +97,17 @@
         """Serve until a stop signal, then drain."""
         limit_tls_buffers()
         self._signals.listen()
-        on_sighup(self._file.reload)
-        self._file.reload()
-        self._operators_address = str(self._operators.listen())
-        self._follow(self._file.follow())
+        on_sighup(self._file_bundles.reload)
+        self._file_bundles.reload()
+        self._operators_address = str(self._operators_server.listen())
+        self._start_task(self._file_bundles.follow())
         self._open_platform()
-        await self._look_around()
+        await self._discover_members()
         self._role = await start_role(self._runtime)
         self._node.start(self._role.peers_address)
         if self._reader is not None:
-            contacts = len(self._contacts.addresses())
-            self._follow(self._reader.run(contacts))
+            known_count = len(self._known_members.addresses())
+            self._start_task(self._reader.run(known_count))
         addresses = self._status().addresses
         self._log.info(
             'Listening.',
@@ -118,13 +118,15 @@
         await self._signals.stopping.wait()
         return await self._stop(self._role)
 
-    def _follow(self, source: Coroutine[None, None, None]) -> None:
-        self._tasks.append(asyncio.create_task(source))
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        self._tasks.append(asyncio.create_task(coroutine))
 
     def _bundles(self) -> BundleSource:
         if self._settings.bundle_file:
-            return self._file
-        return ReplicatedBundles(self._node.documents, self._guard.assemble)
+            return self._file_bundles
+        return ReplicatedBundles(
+            self._node.documents, self._bundle_validator.assemble
+        )
 
     def _open_platform(self) -> None:
         if not self._settings.platform:
@@ -132,54 +134,54 @@
         self._platform = PlatformClient(self._settings.platform)
         self._runtime = replace(self._runtime, store=self._platform)
         self._audit.open(self._platform)
-        self._follow(self._audit.run())
+        self._start_task(self._audit.run())
         self._reader = PlatformReader(
             self._node,
             self._platform,
             self._settings.peers,
-            self._followed,
-            self._contacts.take_list,
+            self._watched_documents,
+            self._known_members.take_list,
             Random(),
         )
 
-    async def _look_around(self) -> None:
-        """Learn members and bundle before serving, best from peers."""
+    async def _discover_members(self) -> None:
+        """Fetch members and bundle before serving, from peers if possible."""
         await self._node.discover()
         if self._reader is None or self._node.has_peers:
             return
         await self._reader.read_members()
         await self._node.discover()
 
-    def _followed(self) -> tuple[DocumentName, ...]:
+    def _watched_documents(self) -> tuple[DocumentName, ...]:
         if self._settings.bundle_file:
             return ()
         return (BUNDLE,)
 
     async def _stop(self, role: RunningRole) -> Exit:
-        ended = Exit.OK
+        exit_code = Exit.OK
         self._report_drain(role, 'begins')
-        self._follow(self._node.announce_leaving())
+        self._start_task(self._node.announce_leaving())
         try:
             async with asyncio.timeout(self._settings.drain_s):
                 await role.drain()
         except TimeoutError:
-            ended = Exit.DRAIN_INCOMPLETE
+            exit_code = Exit.DRAIN_INCOMPLETE
             self._log.warning(
                 'Drain period over.', open=role.status.open_requests
             )
         self._report_drain(
-            role, 'complete' if ended is Exit.OK else 'requests were cut'
+            role, 'complete' if exit_code is Exit.OK else 'requests were cut'
         )
         await self._node.close()
         await role.close()
         await self._audit.close()
-        await self._operators.close()
+        await self._operators_server.close()
         for task in self._tasks:
             task.cancel()
         if self._platform is not None:
             self._platform.close()
-        self._log.info('Stopped.', code=ended.value)
-        return ended
+        self._log.info('Stopped.', code=exit_code.value)
+        return exit_code
 
     def _report_drain(self, role: RunningRole, result: str) -> None:
         self._audit.report(
@@ -214,7 +216,7 @@
             return None
         return self._role.explain(request_id)
 
-    def _take_document(self, document: Document) -> Refusal | None:
+    def _accept_document(self, document: Document) -> Refusal | None:
         head = document.head
         if len(head.parts) != len(document.parts):
             return not_run(
@@ -222,8 +224,8 @@
                 f'expected {len(head.parts)} parts, got {len(document.parts)}',
             )
         parts = dict(zip(head.parts, document.parts, strict=True))
-        taken = self._node.documents.accept(head, parts)
-        return taken if isinstance(taken, Refusal) else None
+        accepted = self._node.documents.accept(head, parts)
+        return accepted if isinstance(accepted, Refusal) else None
 
     def _addresses(self) -> Addresses:
         if self._role is None:
@@ -236,7 +238,7 @@
 
 
 async def serve(settings: Settings) -> Exit:
-    """Run a daemon; return why it ended."""
+    """Run a daemon; return its exit code."""
     log = get_log(Part.MAIN)
     try:
         return await _Daemon(settings).run()
--- a/packages/daemon/src/lacewing_daemon/_signals.py
+++ b/packages/daemon/src/lacewing_daemon/_signals.py
@@ -1,4 +1,4 @@
-"""Turn signals into an orderly stop, then into an immediate one."""
+"""Handle stop signals: drain on the first, exit on the second."""
 
 import asyncio
 import os
@@ -14,10 +14,10 @@
 
 
 class StopSignals:
-    """Set an event on the first stop signal; end at once on the second.
+    """Set an event on the first stop signal; exit at once on the second.
 
-    With ``patient`` the second changes nothing: where a platform stops
-    processes it may repeat the signal, and it kills what takes too long.
+    With ``patient`` the second signal is ignored: a platform that stops
+    processes may repeat the signal, and it kills those that take too long.
     """
 
     def __init__(self, patient: bool = False) -> None:
@@ -38,12 +38,14 @@
 
     def _on_signal(self, number: signal.Signals) -> None:
         if self._stopping.is_set() and self._patient:
-            self._log.info('Drains already.', signal=number.name)
+            self._log.info(
+                'Already draining; signal ignored.', signal=number.name
+            )
             return
         if self._stopping.is_set():
-            # An operator who asks twice no longer wants to wait for streams
-            # that a dead caller may hold open until the drain period ends.
-            self._log.warning('Ending at once.', signal=number.name)
+            # An operator who signals twice does not want to wait for streams
+            # that a dead caller may keep open until the drain period ends.
+            self._log.warning('Exiting without a drain.', signal=number.name)
             close_logs()
             os._exit(SIGNAL_BASE + number)
         self._log.info('Draining.', signal=number.name)
@@ -51,5 +53,5 @@
 
 
 def on_sighup(callback: Callable[[], None]) -> None:
-    """Call back on each SIGHUP."""
+    """Register a callback for SIGHUP."""
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, callback)
--- a/packages/daemon/src/lacewing_daemon/main.py
+++ b/packages/daemon/src/lacewing_daemon/main.py
@@ -1,4 +1,4 @@
-"""Start one daemon, router or agent, from its settings."""
+"""Start a daemon, a router or an agent, from its settings."""
 
 import asyncio
 import sys
@@ -23,15 +23,15 @@
         check: only check the settings and name the first wrong field.
     """
     try:
-        checked = _read(Path(str(settings)))
+        checked_settings = _read(Path(str(settings)))
     except SettingsError as error:
         print(f'lacewingd: {error}', file=sys.stderr)
         sys.exit(Exit.USAGE)
     if check:
         print(f'lacewingd: {settings}: settings are valid')
         sys.exit(Exit.OK)
-    set_up_logs(checked.log_level.value, checked.process_id)
-    sys.exit(asyncio.run(serve(checked)))
+    set_up_logs(checked_settings.log_level.value, checked_settings.process_id)
+    sys.exit(asyncio.run(serve(checked_settings)))
 
 
 def _read(path: Path) -> Settings:
@@ -41,7 +41,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Run the command line interface."""
     fire.Fire(run, name='lacewingd')
 
 
--- a/packages/daemon/src/lacewing_daemon/refusals.py
+++ b/packages/daemon/src/lacewing_daemon/refusals.py
@@ -1,4 +1,4 @@
-"""Keep what the attempts of one request were refused with."""
+"""Combine the refusals of all attempts of one request."""
 
 from dataclasses import replace
 
@@ -6,7 +6,7 @@
 from lacewing_common.verdict import Refusal
 from lacewing_common.verdict import Verdict
 
-_CERTAINTY = (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN)
+_VERDICTS_BY_STRENGTH = (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN)
 
 
 class Refusals:
@@ -17,17 +17,17 @@
         self._verdict = Verdict.NOT_RUN
 
     def add(self, refusal: Refusal) -> None:
-        """Note how an attempt ended."""
+        """Record the refusal of an attempt."""
         self._last = refusal
         self._verdict = _stronger(self._verdict, refusal.verdict)
 
     def final_refusal(self, refusal: Refusal) -> Refusal:
-        """Return what to tell the caller when no further attempt is made.
+        """Return the refusal to send to the caller after the last attempt.
 
-        The last worker's "not run" says nothing of the ones before: told
-        as it is, it would be untrue of a request that one of them may have
-        run. That there is no worker left is told as why the last one
-        refused, with its time to come back.
+        A "not run" verdict of the last worker covers its own attempt only;
+        passed on unchanged, it would be false if an earlier worker may have
+        run the request. If no worker is left, the caller gets the last
+        worker's reason for refusing, with its retry delay.
         """
         if refusal.reason is Reason.NO_WORKER and self._last is not None:
             refusal = self._last
@@ -36,6 +36,6 @@
 
 
 def _stronger(one: Verdict, other: Verdict) -> Verdict:
-    if _CERTAINTY.index(other) > _CERTAINTY.index(one):
+    if _VERDICTS_BY_STRENGTH.index(other) > _VERDICTS_BY_STRENGTH.index(one):
         return other
     return one
--- a/packages/daemon/src/lacewing_daemon/rendezvous.py
+++ b/packages/daemon/src/lacewing_daemon/rendezvous.py
@@ -1,25 +1,25 @@
-"""Rank workers for a prefix so that all routers agree without a message."""
+"""Rank workers by rendezvous hashing, alike at all routers."""
 
 import heapq
 from collections import OrderedDict
 
 import xxhash
 
-# A scan of 890 workers takes about 130 us; the outermost levels are few and
-# come again and again.
-KEPT_RANKINGS = 1024
+# Ranking 890 workers takes about 130 us. The outermost prefix levels are few
+# and recur, so their rankings stay in the cache.
+MAX_CACHED_RANKINGS = 1024
 MAX_WIDTH = 16
 
 
 def highest_ranked(key: bytes, process_ids: tuple[str, ...]) -> str:
-    """Return the worker of highest weight for an 8-byte key."""
+    """Return the worker with the highest weight for an 8-byte key."""
     return rank_workers(key, process_ids, 1)[0]
 
 
 def rank_workers(
     key: bytes, process_ids: tuple[str, ...], count: int
 ) -> tuple[str, ...]:
-    """Return the ``count`` workers of highest weight, best first."""
+    """Return the ``count`` workers with the highest weights, best first."""
     seed = int.from_bytes(key, 'big')
     digest = xxhash.xxh3_64_intdigest
     weights = [digest(name.encode(), seed) for name in process_ids]
@@ -30,11 +30,11 @@
 
 
 class RankingCache:
-    """Keep the rankings of recent keys over one set of workers."""
+    """Cache the rankings of recent keys over one set of workers."""
 
     def __init__(self) -> None:
         self._process_ids: tuple[str, ...] = ()
-        self._kept: OrderedDict[bytes, tuple[str, ...]] = OrderedDict()
+        self._rankings: OrderedDict[bytes, tuple[str, ...]] = OrderedDict()
 
     def top(
         self, key: bytes, process_ids: tuple[str, ...], count: int
@@ -42,12 +42,12 @@
         """Return up to ``count`` (at most 16) workers, best first."""
         if process_ids is not self._process_ids:
             self._process_ids = process_ids
-            self._kept.clear()
-        kept = self._kept.get(key)
-        if kept is None:
-            kept = rank_workers(key, process_ids, MAX_WIDTH)
-            self._kept[key] = kept
-            if len(self._kept) > KEPT_RANKINGS:
-                self._kept.popitem(last=False)
-        self._kept.move_to_end(key)
-        return kept[:count]
+            self._rankings.clear()
+        ranking = self._rankings.get(key)
+        if ranking is None:
+            ranking = rank_workers(key, process_ids, MAX_WIDTH)
+            self._rankings[key] = ranking
+            if len(self._rankings) > MAX_CACHED_RANKINGS:
+                self._rankings.popitem(last=False)
+        self._rankings.move_to_end(key)
+        return ranking[:count]
--- a/packages/daemon/src/lacewing_daemon/runtime.py
+++ b/packages/daemon/src/lacewing_daemon/runtime.py
@@ -1,4 +1,4 @@
-"""Describe what the daemon gives to its role, router or agent."""
+"""Define the interfaces between the daemon and its role."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,36 +17,36 @@
 
 
 class BundleSource(Protocol):
-    """Give the bundle in force."""
+    """Provide the active bundle."""
 
     @property
     def current(self) -> RolledBundle:
-        """Return the bundle in force; number 0 before the first."""
+        """Return the active bundle; number 0 before the first."""
 
     def on_change(self, callback: Callable[[RolledBundle], None]) -> None:
-        """Call back after each change, with the new bundle."""
+        """Register a callback that receives each new bundle."""
 
 
 class MemberSource(Protocol):
-    """Give the peers' addresses as far as they are known."""
+    """Provide the known addresses of peers."""
 
     def agent_addresses(self) -> tuple[str, ...]:
         """Return ``ip:port`` of each agent not known to have left."""
 
     def is_leaving(self, address: str) -> bool:
-        """Tell whether the platform says that an agent's VM is leaving."""
+        """Return whether the platform lists an agent's VM as leaving."""
 
 
 class ReadinessCheck(Protocol):
-    """Tell whether a role can serve."""
+    """Return whether a role can serve."""
 
     def __call__(self) -> bool:
-        """Return true when requests are taken."""
+        """Return true if requests are accepted."""
 
 
 @dataclass(frozen=True)
 class RoleStatus:
-    """Hold what a role reports on ``/status``; names to plain values."""
+    """Hold the part of ``/status`` that a role reports."""
 
     ready: bool
     epoch: str
@@ -62,21 +62,21 @@
 
     @property
     def peers_address(self) -> str:
-        """Return the ``ip:port`` it listens on for peers, or ''."""
+        """Return the ``ip:port`` of the listener for peers, or ''."""
 
     @property
     def callers_address(self) -> str:
-        """Return the ``ip:port`` it listens on for callers, or ''."""
+        """Return the ``ip:port`` of the listener for callers, or ''."""
 
     async def drain(self) -> None:
-        """Take no new work; return when all open work has ended."""
+        """Refuse new work; return when all open work has ended."""
 
     async def close(self) -> None:
         """Close listeners and links."""
 
 
 class AuditSink(Protocol):
-    """Take reports for the audit trail; never waits for the platform."""
+    """Accept reports for the audit trail without waiting for the platform."""
 
     def report(
         self,
@@ -86,11 +86,11 @@
         after: str = '',
         result: str = 'done',
     ) -> None:
-        """Enter that this process did something."""
+        """Report an action of this process."""
 
 
 class NullAuditSink:
-    """Be the sink of a role that runs without a daemon."""
+    """Discard the reports of a role that runs without a daemon."""
 
     def report(
         self,
@@ -100,24 +100,24 @@
         after: str = '',
         result: str = 'done',
     ) -> None:
-        """Drop the report."""
+        """Discard the report."""
 
 
 @runtime_checkable
 class ExplanationProvider(Protocol):
-    """Tell how a request was routed; a router does."""
+    """Explain how a request was routed; implemented by routers."""
 
     def explain(self, request_id: str) -> object | None:
-        """Return the decisions on a request, None when not kept."""
+        """Return the decisions on a request, None if none are stored."""
 
 
 @dataclass(frozen=True)
 class Runtime:
-    """Hold what every role gets from the daemon.
+    """Hold the dependencies that the daemon passes to its role.
 
-    ``store`` is None when the settings name no platform.
-    ``peer_services`` are to be served on the listener for peers; ``node``
-    makes the process one of the fleet, None in focused tests.
+    ``store`` is None if the settings name no platform. The role serves
+    ``peer_services`` on its listener for peers. ``node`` takes part in the
+    fleet's membership; it is None in unit tests.
     """
 
     name: ProcessName
